--- a/packages/gateway/benchmarks/restways.py
+++ b/packages/gateway/benchmarks/restways.py
@@ -15,7 +15,7 @@
 
 import attrs
 
-from chivepier.gateway.limits import RestBoard
+from chivepier.gateway.limits import BackoffTable
 
 SERVICE_RATE = 60.0
 # What each target takes in a second, by load.
@@ -59,17 +59,17 @@
     """How entries heed rests: by what each believes of each target."""
 
     def __init__(self, entries: int, rng: random.Random):
-        self.boards = [RestBoard(rng) for _ in range(entries)]
+        self.boards = [BackoffTable(rng) for _ in range(entries)]
         self._rng = rng
 
     def rests(self, entry: int, target: int, now: float) -> bool:
         """Tell whether an entry sends a target nothing."""
         board = self.boards[entry]
-        return board.find_pause(str(target), 0, now) is not None
+        return board.find_delay(str(target), 0, now) is not None
 
     def note(self, entry: int, target: int, now: float) -> None:
         """Take that a target asked an entry for rest."""
-        self.boards[entry].note(str(target), 0, REST_SECONDS, now)
+        self.boards[entry].add(str(target), 0, REST_SECONDS, now)
 
 
 class Nobody(Way):
@@ -87,7 +87,7 @@
         """Tell everybody."""
         super().note(entry, target, now)
         for board in self.boards:
-            board.note(str(target), 0, REST_SECONDS, now + TOLD_SECONDS)
+            board.add(str(target), 0, REST_SECONDS, now + TOLD_SECONDS)
 
 
 class Witnesses(Way):
@@ -99,7 +99,7 @@
             return True
         told = now - TOLD_SECONDS
         asked = (
-            board.find_pause(str(target), 0, told) is not None
+            board.find_delay(str(target), 0, told) is not None
             for board in self.boards
         )
         return sum(asked) >= WITNESSES
--- a/packages/gateway/src/chivepier/gateway/control/knownstate.py
+++ b/packages/gateway/src/chivepier/gateway/control/knownstate.py
@@ -12,8 +12,8 @@
 from chivepier.gateway.following import unpack_target
 from chivepier.gateway.messages import TargetRecord
 from chivepier.gateway.quarantine import Ending
+from chivepier.gateway.quarantine import Incarnation
 from chivepier.gateway.quarantine import Ledger
-from chivepier.gateway.quarantine import Life
 from chivepier.gateway.targets import TargetTable
 from chivepier.gateway.zones import ZoneOrder
 from chivepier.state import DamagedError
@@ -87,7 +87,7 @@
             self._table.zones.put(order)
         for fields in ends:
             digest, instance, born, age, source, how = fields
-            life = Life(instance, born)
+            life = Incarnation(instance, born)
             self._ledger.add(Ending(digest, life, now - age, source, how))
         return StoredConfig(version, body) if version >= 0 else None
 
@@ -133,7 +133,12 @@
                 )
             )
         ends = [
-            (e.digest, e.life.instance, e.life.born, now - e.seen)
+            (
+                e.digest,
+                e.incarnation.instance,
+                e.incarnation.born,
+                now - e.seen,
+            )
             + (e.source, e.how)
             for digest in self._ledger.suspects
             for e in self._ledger.find_endings(digest)
--- a/packages/gateway/src/chivepier/gateway/control/limithub.py
+++ b/packages/gateway/src/chivepier/gateway/control/limithub.py
@@ -3,10 +3,10 @@
 import collections.abc
 
 from chivepier.gateway.eventlog import EventLog
-from chivepier.gateway.limits import LimitBoard
-from chivepier.gateway.limits import LimitWord
-from chivepier.gateway.limits import pack_words
-from chivepier.gateway.limits import unpack_words
+from chivepier.gateway.limits import LimitTable
+from chivepier.gateway.limits import pack_limits
+from chivepier.gateway.limits import unpack_limits
+from chivepier.gateway.limits import VersionedLimit
 from chivepier.gateway.messages import EntryBeat
 from chivepier.gateway.messages import LimitNotice
 from chivepier.gateway.messages import LimitRecord
@@ -30,7 +30,7 @@
         clock: Clock,
         log: EventLog,
     ):
-        self.board = LimitBoard()
+        self.board = LimitTable()
         self._channels = channels
         self._clock = clock
         self._log = log
@@ -41,17 +41,17 @@
         :param records: of its beat
         """
         now = self._clock.monotonic()
-        words = unpack_words(records, now)
+        words = unpack_limits(records, now)
         news = [word for word in words if self.board.put(word)]
         if not news:
             return
         for word in news:
             self._log_word(word, now)
-        message = prepare(LimitNotice(pack_words(news, now)))
+        message = prepare(LimitNotice(pack_limits(news, now)))
         for channel in self._channels():
             channel.send_prepared(message)
 
-    def _log_word(self, word: LimitWord, now: float) -> None:
+    def _log_word(self, word: VersionedLimit, now: float) -> None:
         self._log.info(
             "limit_known",
             target=word.instance,
@@ -64,7 +64,7 @@
 
     def find_named(
         self, targets: collections.abc.Iterable[Target]
-    ) -> list[tuple[LimitWord, float]]:
+    ) -> list[tuple[VersionedLimit, float]]:
         """Return the limits that targets name now.
 
         :param targets: that are known
@@ -90,4 +90,4 @@
         if revision >= self.board.revision:
             return ()
         words = self.board.find_newer(revision)
-        return pack_words(words, self._clock.monotonic())
+        return pack_limits(words, self._clock.monotonic())
--- a/packages/gateway/src/chivepier/gateway/control/registry.py
+++ b/packages/gateway/src/chivepier/gateway/control/registry.py
@@ -119,7 +119,7 @@
         Voters and entries learn of that moment some tenths of a second
         apart, so the next words all go to the entries.
         """
-        at = self._table.zones.find_readmitted(target.zone)
+        at = self._table.zones.find_readmission(target.zone)
         return at is not None and 0 <= target.said - at < AWAITED_SECONDS
 
     def leave(self, instance: str, born: int | None = None) -> None:
--- a/packages/gateway/src/chivepier/gateway/control/tests/fleet.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/fleet.py
@@ -16,15 +16,15 @@
 from chivepier.gateway.following import LoadExchange
 from chivepier.gateway.following import Peers
 from chivepier.gateway.following import QuarantineExchange
-from chivepier.gateway.limits import LimitBoard
+from chivepier.gateway.limits import LimitTable
 from chivepier.gateway.messages import PermitAnswer
 from chivepier.gateway.messages import PermitRequest
 from chivepier.gateway.metrics import Metrics
 from chivepier.gateway.permits import ColdBound
 from chivepier.gateway.permits import OwnPart
 from chivepier.gateway.permits import Permits
-from chivepier.gateway.quarantine import Loss
-from chivepier.gateway.quarantine import Orders
+from chivepier.gateway.quarantine import LostRequest
+from chivepier.gateway.quarantine import Overrides
 from chivepier.gateway.quarantine import Quarantine
 from chivepier.gateway.serving import RetryBudget
 from chivepier.gateway.serving import ServingState
@@ -77,13 +77,13 @@
             name,
             self.table,
             self._probe,
-            Orders(),
+            Overrides(),
             clock,
             log,
             Metrics(),
         )
         self.freshness = Freshness(clock)
-        self.limits = LimitBoard(name)
+        self.limits = LimitTable(name)
         self.permits = Permits(
             zones=self.zones,
             limits=self.limits,
@@ -189,7 +189,7 @@
             slots=1,
             heard=now,
         )
-        loss = Loss(
+        loss = LostRequest(
             id="r",
             digest=digest,
             team="t1",
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_late.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_late.py
@@ -96,7 +96,7 @@
         told, now = followers[-1], tell_time()
         told.leavers.note(told.table.get("i1"), now)
         known = told.limits.find("i2", 0)
-        told.limits.note("i2", 0, known, RateLimit(2.5), now)
+        told.limits.observe("i2", 0, known, RateLimit(2.5), now)
         for follower in followers:
             await wait_until(lambda f=follower: f.table.leaves("i1"))
             await wait_until(
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_limits.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_limits.py
@@ -44,7 +44,7 @@
     limits = follower.limits
     known = limits.find(target.instance, target.born)
     limit = NoLimit() if rate is None else RateLimit(rate)
-    limits.note(target.instance, target.born, known, limit, tell_time())
+    limits.observe(target.instance, target.born, known, limit, tell_time())
 
 
 def knows(follower, rate: float | None, target: Target) -> bool:
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_quarantinehub.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_quarantinehub.py
@@ -52,7 +52,7 @@
         await wait_until(lambda: late.hub is not None)
         followers[1].end_under("d", "i9")
         await wait_until(lambda: late.quarantine.ledger.revision)
-        assert not late.quarantine.ledger.knows("d")
+        assert not late.quarantine.ledger.has_endings("d")
 
     play(test, tmp_path)
 
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_words.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_words.py
@@ -21,7 +21,7 @@
 def note_limit(told: Follower, name: str) -> None:
     """Let a target's answer to an entry name a limit."""
     known = told.limits.find(name, 0)
-    told.limits.note(name, 0, known, RateLimit(2.5), tell_time())
+    told.limits.observe(name, 0, known, RateLimit(2.5), tell_time())
 
 
 def note_loss(told: Follower, name: str) -> None:
@@ -36,7 +36,7 @@
         (note_limit, lambda node, name: node.limits.find_rate(name, 0)),
         (
             note_loss,
-            lambda node, name: node.quarantine.ledger.knows(f"d-{name}"),
+            lambda node, name: node.quarantine.ledger.has_endings(f"d-{name}"),
         ),
     ),
     ids=("leaving", "limit", "loss"),
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_zonestore.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_zonestore.py
@@ -173,9 +173,9 @@
                 order(voters[1], "z0", False),
                 order(voters[2], "z1", True),
             )
-        newest = max(voter.zones.newest for voter in voters)
+        newest = max(voter.zones.last_index for voter in voters)
         for voter in voters:
-            await wait_until(lambda v=voter: v.zones.newest == newest)
+            await wait_until(lambda v=voter: v.zones.last_index == newest)
         states = {voter.zones.is_evacuated("z0") for voter in voters}
         assert len(states) == 1
         assert all(voter.zones.is_evacuated("z1") for voter in voters)
--- a/packages/gateway/src/chivepier/gateway/control/voter.py
+++ b/packages/gateway/src/chivepier/gateway/control/voter.py
@@ -247,14 +247,14 @@
 
     def _find_orders(self, index: int) -> tuple[ZoneRecord, ...]:
         """Return all orders about zones, where one lacks any."""
-        if self.zones.newest <= index:
+        if self.zones.last_index <= index:
             return ()
         now = self._clock.monotonic()
         return tuple(pack_order(order, now) for order in self.zones.orders)
 
     def knows_zone(self, zone: str) -> bool:
         """Tell whether the settings or a target name a zone."""
-        if self.zones.knows(zone):
+        if self.zones.has_zone(zone):
             return True
         return any(target.zone == zone for target in self.table)
 
--- a/packages/gateway/src/chivepier/gateway/entry/entry.py
+++ b/packages/gateway/src/chivepier/gateway/entry/entry.py
@@ -11,9 +11,9 @@
 from chivepier.gateway.following import LoadExchange
 from chivepier.gateway.following import Peers
 from chivepier.gateway.following import QuarantineExchange
-from chivepier.gateway.limits import LimitBoard
-from chivepier.gateway.limits import LimitWord
-from chivepier.gateway.limits import RestBoard
+from chivepier.gateway.limits import BackoffTable
+from chivepier.gateway.limits import LimitTable
+from chivepier.gateway.limits import VersionedLimit
 from chivepier.gateway.messages import PermitAnswer
 from chivepier.gateway.messages import PermitRequest
 from chivepier.gateway.metrics import Metrics
@@ -96,9 +96,9 @@
         self.health = TargetHealth()
         self.board = LoadBoard(settings.name)
         self.queues = QueueBoard(settings.name, self.board.changed)
-        self.limits = LimitBoard(settings.name)
+        self.limits = LimitTable(settings.name)
         self.limits.watchers.append(self._note_limit)
-        self.rests = RestBoard(rng)
+        self.rests = BackoffTable(rng)
         chooser = Chooser(
             self.table,
             self.health,
@@ -221,7 +221,7 @@
         await self._stack.enter_async_context(self._links)
         await self._stack.enter_async_context(self.following)
         self._stack.push_async_callback(self.mover.close)
-        self._stack.push_async_callback(self.quarantine.judge.close)
+        self._stack.push_async_callback(self.quarantine.detector.close)
         loading = asyncio.create_task(self.metrics.load_later())
         self._stack.callback(loading.cancel)
         watching = asyncio.create_task(self.mover.watch_silence())
@@ -238,7 +238,9 @@
     async def _ask_permit(self, request: PermitRequest) -> PermitAnswer | None:
         return await self.following.ask_permit(request)
 
-    def _note_limit(self, word: LimitWord, before: LimitWord | None) -> None:
+    def _note_limit(
+        self, word: VersionedLimit, before: VersionedLimit | None
+    ) -> None:
         self._log.info(
             "limit_known",
             target=word.instance,
@@ -276,7 +278,7 @@
         )
         self.mover.note_restart(target)
         self._forget(target)
-        self.rests.end_life(target.instance, target.born, target.heard)
+        self.rests.end_incarnation(target.instance, target.born, target.heard)
         # what a kept connection leads to has ended: a request that may run
         # once only would be lost with it
         self._port.hang_up(target)
--- a/packages/gateway/src/chivepier/gateway/following/following.py
+++ b/packages/gateway/src/chivepier/gateway/following/following.py
@@ -30,7 +30,7 @@
 from chivepier.gateway.targets import Leavers
 from chivepier.gateway.targets import TargetTable
 from chivepier.gateway.zones import Freshness
-from chivepier.gateway.zones import PRESUMED_SECONDS
+from chivepier.gateway.zones import PRESUMPTION_TTL_SECONDS
 from chivepier.gateway.zones import unpack_order
 from chivepier.types import Clock
 from chivepier.types import Signal
@@ -108,7 +108,7 @@
         self._limits = limits
         self._leavers = leavers
         self._freshness = freshness
-        freshness.ask = self._beat_all
+        freshness.request_update = self._beat_all
         self._orders = -1
         self._tasks: list[asyncio.Task] = []
         self._beats: set[asyncio.Task] = set()
@@ -264,7 +264,7 @@
         # before what is sent by it: requests may wait for this word
         self._take_orders(answer.orders)
         self._take_presumed(answer.presumed)
-        self._freshness.note_word()
+        self._freshness.note_update()
         self._take_suspects(voter, answer)
         # a voter that started anew lacks what earlier beats told it: only a
         # beat that told everything counts then
@@ -311,7 +311,7 @@
         self._orders = max(self._orders, newest)
 
     def _take_presumed(self, names: tuple[str, ...]) -> None:
-        until = self._clock.monotonic() + PRESUMED_SECONDS
+        until = self._clock.monotonic() + PRESUMPTION_TTL_SECONDS
         for zone in names:
             self._table.zones.presume(zone, until)
 
--- a/packages/gateway/src/chivepier/gateway/following/limitexchange.py
+++ b/packages/gateway/src/chivepier/gateway/following/limitexchange.py
@@ -3,10 +3,10 @@
 import collections.abc
 
 from chivepier.gateway.following.limitstanding import LimitStanding
-from chivepier.gateway.limits import LimitBoard
-from chivepier.gateway.limits import LimitWord
-from chivepier.gateway.limits import pack_words
-from chivepier.gateway.limits import unpack_words
+from chivepier.gateway.limits import LimitTable
+from chivepier.gateway.limits import pack_limits
+from chivepier.gateway.limits import unpack_limits
+from chivepier.gateway.limits import VersionedLimit
 from chivepier.gateway.messages import EntryBeatAnswer
 from chivepier.gateway.messages import LimitRecord
 from chivepier.gateway.targets import Target
@@ -28,7 +28,7 @@
     :param clock: monotonic time
     """
 
-    def __init__(self, board: LimitBoard, clock: Clock):
+    def __init__(self, board: LimitTable, clock: Clock):
         self.changed = Signal()
         self._board = board
         self._clock = clock
@@ -39,7 +39,9 @@
         """Of this entry's board; what a beat tells goes up to it."""
         return self._board.revision
 
-    def _note_word(self, word: LimitWord, before: LimitWord | None) -> None:
+    def _note_word(
+        self, word: VersionedLimit, before: VersionedLimit | None
+    ) -> None:
         self.changed.set()
 
     def find_untold(self, standing: LimitStanding) -> tuple[LimitRecord, ...]:
@@ -47,11 +49,11 @@
         words = self._board.find_newer(
             standing.told or 0, own_only=standing.told is not None
         )
-        return pack_words(words, self._clock.monotonic())
+        return pack_limits(words, self._clock.monotonic())
 
     def take(self, records: tuple[LimitRecord, ...]) -> None:
         """Take what a voter tells."""
-        for word in unpack_words(records, self._clock.monotonic()):
+        for word in unpack_limits(records, self._clock.monotonic()):
             self._board.put(word)
 
     def expire(self, targets: collections.abc.Iterable[Target]) -> None:
--- a/packages/gateway/src/chivepier/gateway/following/quarantineexchange.py
+++ b/packages/gateway/src/chivepier/gateway/following/quarantineexchange.py
@@ -67,7 +67,7 @@
     def take(self, notice: QuarantineNotice) -> None:
         """Take what a voter tells."""
         now = self._clock.monotonic()
-        self._quarantine.take(unpack_records(notice, now))
+        self._quarantine.merge(unpack_records(notice, now))
 
     def expire(self) -> None:
         """Drop what no longer counts."""
--- a/packages/gateway/src/chivepier/gateway/limits/__init__.py
+++ b/packages/gateway/src/chivepier/gateway/limits/__init__.py
@@ -1,22 +1,22 @@
 """What targets say of themselves in their answers."""
 
-from chivepier.gateway.limits.askedrest import AskedRest
+from chivepier.gateway.limits.backofftable import BackoffTable
+from chivepier.gateway.limits.backofftable import MAX_BACKOFF_SECONDS
+from chivepier.gateway.limits.backofftable import MAX_INHERITED_SECONDS
+from chivepier.gateway.limits.backofftable import PROBE_SECONDS
+from chivepier.gateway.limits.invalidbackoff import InvalidBackoff
+from chivepier.gateway.limits.invalidlimit import InvalidLimit
 from chivepier.gateway.limits.limit import Limit
-from chivepier.gateway.limits.limitboard import LimitBoard
-from chivepier.gateway.limits.limitboard import MOST_UNKNOWN
-from chivepier.gateway.limits.limitword import LimitWord
+from chivepier.gateway.limits.limittable import LimitTable
+from chivepier.gateway.limits.limittable import MAX_UNKNOWN_TARGETS
+from chivepier.gateway.limits.nobackoff import NoBackoff
 from chivepier.gateway.limits.nolimit import NoLimit
-from chivepier.gateway.limits.norest import NoRest
 from chivepier.gateway.limits.ratelimit import RateLimit
-from chivepier.gateway.limits.records import pack_words
-from chivepier.gateway.limits.records import unpack_words
-from chivepier.gateway.limits.rest import Rest
-from chivepier.gateway.limits.restboard import MOST_PASSED_SECONDS
-from chivepier.gateway.limits.restboard import MOST_REST_SECONDS
-from chivepier.gateway.limits.restboard import RestBoard
-from chivepier.gateway.limits.restboard import TRIAL_SECONDS
-from chivepier.gateway.limits.unreadlimit import UnreadLimit
-from chivepier.gateway.limits.unreadrest import UnreadRest
+from chivepier.gateway.limits.records import pack_limits
+from chivepier.gateway.limits.records import unpack_limits
+from chivepier.gateway.limits.requestedbackoff import RequestedBackoff
+from chivepier.gateway.limits.rest import Backoff
+from chivepier.gateway.limits.versionedlimit import VersionedLimit
 
 __all__ = [
     "AskedRest",
--- a/packages/gateway/src/chivepier/gateway/limits/standingrest.py
+++ b/packages/gateway/src/chivepier/gateway/limits/activebackoff.py
@@ -4,7 +4,7 @@
 
 
 @attrs.define
-class StandingRest:
+class ActiveBackoff:
     """Until when a target gets nothing, and what follows.
 
     :param until: in monotonic seconds
@@ -14,5 +14,5 @@
     """
 
     until: float
-    asked: float
-    tried_until: float = float("-inf")
+    requested_at: float
+    probe_until: float = float("-inf")
--- a/packages/gateway/src/chivepier/gateway/limits/unreadrest.py
+++ b/packages/gateway/src/chivepier/gateway/limits/invalidbackoff.py
@@ -4,5 +4,5 @@
 
 
 @attrs.frozen
-class UnreadRest:
+class InvalidBackoff:
     """The answer asks for rest, and not in seconds that can be read."""
--- a/packages/gateway/src/chivepier/gateway/limits/unreadlimit.py
+++ b/packages/gateway/src/chivepier/gateway/limits/invalidlimit.py
@@ -4,5 +4,5 @@
 
 
 @attrs.frozen
-class UnreadLimit:
+class InvalidLimit:
     """The target names a limit that is no number."""
--- a/packages/gateway/src/chivepier/gateway/limits/limitboard.py
+++ b/packages/gateway/src/chivepier/gateway/limits/limittable.py
@@ -3,21 +3,23 @@
 import collections.abc
 import itertools
 
+from chivepier.gateway.limits.invalidlimit import InvalidLimit
 from chivepier.gateway.limits.limit import Limit
-from chivepier.gateway.limits.limitword import LimitWord
 from chivepier.gateway.limits.nolimit import NoLimit
 from chivepier.gateway.limits.ratelimit import RateLimit
-from chivepier.gateway.limits.unreadlimit import UnreadLimit
+from chivepier.gateway.limits.versionedlimit import VersionedLimit
 
 # Requests a second above which a limit binds nobody: no target serves more.
-UNBOUND_RATE = 1000.0
+UNLIMITED_RATE = 1000.0
 # Words about targets that are not known from which on they are dropped.
-MOST_UNKNOWN = 1_000
+MAX_UNKNOWN_TARGETS = 1_000
 
-Watcher = collections.abc.Callable[[LimitWord, LimitWord | None], None]
+Watcher = collections.abc.Callable[
+    [VersionedLimit, VersionedLimit | None], None
+]
 
 
-class LimitBoard:
+class LimitTable:
     """Merges words about limits, in whatever order and however often told.
 
     Answers overtake each other, and clocks of entries differ. An answer to a
@@ -25,14 +27,14 @@
     answer without a limit ends only a limit that its entry knew when it sent
     the request.
 
-    >>> board = LimitBoard("e1")
-    >>> board.note("i1", 7, None, RateLimit(1.5), 0.0)
+    >>> board = LimitTable("e1")
+    >>> board.observe("i1", 7, None, RateLimit(1.5), 0.0)
     True
     >>> board.find_rate("i1", 7)
     1.5
-    >>> board.note("i1", 7, None, NoLimit(), 0.1)
+    >>> board.observe("i1", 7, None, NoLimit(), 0.1)
     False
-    >>> board.note("i1", 7, board.find("i1", 7), NoLimit(), 0.2)
+    >>> board.observe("i1", 7, board.find("i1", 7), NoLimit(), 0.2)
     True
 
     :ivar revision: counts what was news; see :meth:`find_newer`
@@ -42,17 +44,17 @@
 
     def __init__(self, me: str = ""):
         self._me = me
-        self._words: dict[str, LimitWord] = {}
+        self._limits: dict[str, VersionedLimit] = {}
         self._changed_at: dict[str, int] = {}
         self._revisions = itertools.count(1)
         self.revision = 0
         self.watchers: list[Watcher] = []
 
-    def note(
+    def observe(
         self,
         instance: str,
         born: int,
-        known: LimitWord | None,
+        known: VersionedLimit | None,
         limit: Limit,
         now: float,
     ) -> bool:
@@ -70,13 +72,13 @@
                 rate = None
             case RateLimit(rate=rate):
                 pass
-            case UnreadLimit():
+            case InvalidLimit():
                 # in need, but for which rate is not told: neither a limit
                 # nor the end of one
                 return False
         if rate == (known.rate if known else None):
             return False
-        word = LimitWord(
+        word = VersionedLimit(
             instance=instance,
             born=born,
             version=known.version + 1 if known else 1,
@@ -86,24 +88,24 @@
         )
         return self.put(word)
 
-    def put(self, word: LimitWord) -> bool:
+    def put(self, word: VersionedLimit) -> bool:
         """Take a word, also of another node.
 
         :returns: whether it was news
         """
-        before = self._words.get(word.instance)
-        if before is not None and not word.replaces(before):
+        before = self._limits.get(word.instance)
+        if before is not None and not word.supersedes(before):
             return False
-        self._words[word.instance] = word
+        self._limits[word.instance] = word
         self.revision = next(self._revisions)
         self._changed_at[word.instance] = self.revision
         for watcher in self.watchers:
             watcher(word, before)
         return True
 
-    def find(self, instance: str, born: int) -> LimitWord | None:
+    def find(self, instance: str, born: int) -> VersionedLimit | None:
         """Return what is believed of one life of a target."""
-        word = self._words.get(instance)
+        word = self._limits.get(instance)
         return word if word is not None and word.born == born else None
 
     def find_rate(self, instance: str, born: int) -> float | None:
@@ -112,23 +114,23 @@
         :returns: ``None`` where nothing bounds them
         """
         word = self.find(instance, born)
-        if word is None or word.rate is None or word.rate >= UNBOUND_RATE:
+        if word is None or word.rate is None or word.rate >= UNLIMITED_RATE:
             return None
         return word.rate
 
     def find_newer(
         self, revision: int, own_only: bool = False
-    ) -> list[LimitWord]:
+    ) -> list[VersionedLimit]:
         """Return the words that were news after a revision.
 
         :param revision: of this board
         :param own_only: whether only what was answered here is wanted
         """
         return [
-            self._words[instance]
+            self._limits[instance]
             for instance, changed_at in self._changed_at.items()
             if changed_at > revision
-            and (not own_only or self._words[instance].source == self._me)
+            and (not own_only or self._limits[instance].source == self._me)
         ]
 
     def forget(self, instance: str, born: int) -> None:
@@ -137,7 +139,7 @@
         :param instance: the target's name
         :param born: start of that life; words about a later one stay
         """
-        word = self._words.get(instance)
+        word = self._limits.get(instance)
         if word is not None and word.born <= born:
             self._drop(instance)
 
@@ -148,19 +150,19 @@
 
         :param instances: names of the targets that are known
         """
-        if len(self._words) <= MOST_UNKNOWN:
+        if len(self._limits) <= MAX_UNKNOWN_TARGETS:
             return
         known = set(instances)
-        if len(self._words) > len(known) + MOST_UNKNOWN:
-            for instance in self._words.keys() - known:
+        if len(self._limits) > len(known) + MAX_UNKNOWN_TARGETS:
+            for instance in self._limits.keys() - known:
                 self._drop(instance)
 
     def _drop(self, instance: str) -> None:
-        del self._words[instance]
+        del self._limits[instance]
         del self._changed_at[instance]
 
     def __bool__(self) -> bool:
-        return bool(self._words)
+        return bool(self._limits)
 
-    def __iter__(self) -> collections.abc.Iterator[LimitWord]:
-        return iter(list(self._words.values()))
+    def __iter__(self) -> collections.abc.Iterator[VersionedLimit]:
+        return iter(list(self._limits.values()))
--- a/packages/gateway/src/chivepier/gateway/limits/norest.py
+++ b/packages/gateway/src/chivepier/gateway/limits/nobackoff.py
@@ -4,5 +4,5 @@
 
 
 @attrs.frozen
-class NoRest:
+class NoBackoff:
     """The answer does not say that its target wants nothing for a while."""
--- a/packages/gateway/src/chivepier/gateway/limits/records.py
+++ b/packages/gateway/src/chivepier/gateway/limits/records.py
@@ -2,15 +2,15 @@
 
 import collections.abc
 
-from chivepier.gateway.limits.limitword import LimitWord
+from chivepier.gateway.limits.versionedlimit import VersionedLimit
 from chivepier.gateway.messages import LimitRecord
 
 # Stands for no limit on the wire; rates are zero or more.
 NO_LIMIT = -1.0
 
 
-def pack_words(
-    words: collections.abc.Iterable[LimitWord], now: float
+def pack_limits(
+    words: collections.abc.Iterable[VersionedLimit], now: float
 ) -> tuple[LimitRecord, ...]:
     """Turn words into messages.
 
@@ -30,16 +30,16 @@
     )
 
 
-def unpack_words(
+def unpack_limits(
     records: collections.abc.Iterable[LimitRecord], now: float
-) -> list[LimitWord]:
+) -> list[VersionedLimit]:
     """Build words of messages.
 
     :param records: of another node
     :param now: this node's monotonic seconds
     """
     return [
-        LimitWord(
+        VersionedLimit(
             instance=record.instance,
             born=record.born,
             version=record.version,
--- a/packages/gateway/src/chivepier/gateway/limits/askedrest.py
+++ b/packages/gateway/src/chivepier/gateway/limits/requestedbackoff.py
@@ -4,7 +4,7 @@
 
 
 @attrs.frozen
-class AskedRest:
+class RequestedBackoff:
     """The target wants nothing from the entry that it answered.
 
     :param seconds: from the answer on
--- a/packages/gateway/src/chivepier/gateway/limits/rest.py
+++ b/packages/gateway/src/chivepier/gateway/limits/rest.py
@@ -1,7 +1,7 @@
 """What an answer says of the time in which its target wants nothing."""
 
-from chivepier.gateway.limits.askedrest import AskedRest
-from chivepier.gateway.limits.norest import NoRest
-from chivepier.gateway.limits.unreadrest import UnreadRest
+from chivepier.gateway.limits.invalidbackoff import InvalidBackoff
+from chivepier.gateway.limits.nobackoff import NoBackoff
+from chivepier.gateway.limits.requestedbackoff import RequestedBackoff
 
-Rest = NoRest | AskedRest | UnreadRest
+Backoff = NoBackoff | RequestedBackoff | InvalidBackoff
--- a/packages/gateway/src/chivepier/gateway/limits/tests/test_restboard.py
+++ b/packages/gateway/src/chivepier/gateway/limits/tests/test_backofftable.py
@@ -7,77 +7,77 @@
 from hypothesis import strategies
 import pytest
 
-from chivepier.gateway.limits import MOST_PASSED_SECONDS
-from chivepier.gateway.limits import MOST_REST_SECONDS
-from chivepier.gateway.limits import RestBoard
-from chivepier.gateway.limits import TRIAL_SECONDS
+from chivepier.gateway.limits import BackoffTable
+from chivepier.gateway.limits import MAX_BACKOFF_SECONDS
+from chivepier.gateway.limits import MAX_INHERITED_SECONDS
+from chivepier.gateway.limits import PROBE_SECONDS
 
 
-def make_board(seconds: float = 3.0) -> RestBoard:
+def make_board(seconds: float = 3.0) -> BackoffTable:
     """Make a board whose target asked for rest at moment 10."""
-    board = RestBoard(random.Random(1))
-    board.note("i1", 1, seconds, 10.0)
+    board = BackoffTable(random.Random(1))
+    board.add("i1", 1, seconds, 10.0)
     return board
 
 
-def find_end(board: RestBoard, now: float = 10.0) -> float:
+def find_end(board: BackoffTable, now: float = 10.0) -> float:
     """Return when the target may be sent something again."""
-    return now + board.find_pause("i1", 1, now)
+    return now + board.find_delay("i1", 1, now)
 
 
 def test_shorter_rest_ends_no_longer_one():
     board = make_board()
     end = find_end(board)
-    assert not board.note("i1", 1, 0.5, 10.1)
+    assert not board.add("i1", 1, 0.5, 10.1)
     assert find_end(board) == end
-    board.note("i1", 1, 9.0, 10.2)
+    board.add("i1", 1, 9.0, 10.2)
     assert find_end(board) >= 19.2
 
 
 def test_late_answer_that_asks_for_nothing_ends_no_rest():
     board = make_board()
     board.note_answered("i1", 1, 11.0)
-    assert board.find_pause("i1", 1, 12.9) is not None
+    assert board.find_delay("i1", 1, 12.9) is not None
 
 
 def test_rest_binds_one_life_alone():
     board = make_board()
-    assert board.find_pause("i1", 2, 11.0) is None
-    board.note("i1", 2, 3.0, 11.0)
+    assert board.find_delay("i1", 2, 11.0) is None
+    board.add("i1", 2, 3.0, 11.0)
     board.forget("i1", 1)
-    assert board.find_pause("i1", 1, 11.0) is None
-    assert board.find_pause("i1", 2, 11.0) is not None
+    assert board.find_delay("i1", 1, 11.0) is None
+    assert board.find_delay("i1", 2, 11.0) is not None
 
 
 def test_rest_that_the_next_life_may_have_asked_for_holds_for_it():
     # A target had started again, and asked for rest before its announcement
     # came: what it asked counted as its earlier life's, and it was sent more.
     board = make_board(5.0)
-    board.end_life("i1", 1, heard=9.5)
-    assert board.find_pause("i1", 2, 14.9) is not None
+    board.end_incarnation("i1", 1, heard=9.5)
+    assert board.find_delay("i1", 2, 14.9) is not None
     board.note_answered("i1", 2, 12.0)
-    assert board.find_pause("i1", 2, 14.9) is not None
+    assert board.find_delay("i1", 2, 14.9) is not None
     board.note_answered("i1", 2, 16.0)
     assert not board
 
 
 def test_rest_that_the_earlier_life_asked_for_ends_with_it():
     board = make_board(5.0)
-    board.end_life("i1", 1, heard=10.5)
-    assert board.find_pause("i1", 2, 11.0) is None
+    board.end_incarnation("i1", 1, heard=10.5)
+    assert board.find_delay("i1", 2, 11.0) is None
     assert not board
 
 
 def test_rest_of_either_life_is_bounded():
     board = make_board(3_000.0)
-    board.end_life("i1", 1, heard=9.5)
-    assert board.find_pause("i1", 2, 10.0 + MOST_PASSED_SECONDS) is None
+    board.end_incarnation("i1", 1, heard=9.5)
+    assert board.find_delay("i1", 2, 10.0 + MAX_INHERITED_SECONDS) is None
 
 
 def test_rest_of_more_than_an_hour_is_one_hour():
     board = make_board(1e12)
     end = find_end(board)
-    assert MOST_REST_SECONDS <= end - 10.0 <= MOST_REST_SECONDS + 0.5
+    assert MAX_BACKOFF_SECONDS <= end - 10.0 <= MAX_BACKOFF_SECONDS + 0.5
 
 
 @pytest.mark.parametrize("answered", (True, False))
@@ -86,21 +86,21 @@
 ):
     board = make_board()
     end = find_end(board)
-    assert board.find_pause("i1", 1, end) is None
+    assert board.find_delay("i1", 1, end) is None
     board.note_sent("i1", 1, end)
-    assert board.find_pause("i1", 1, end + 0.01) is not None
+    assert board.find_delay("i1", 1, end + 0.01) is not None
     if answered:
         board.note_answered("i1", 1, end + 0.02)
         assert not board
     else:
-        assert board.find_pause("i1", 1, end + TRIAL_SECONDS) is None
+        assert board.find_delay("i1", 1, end + PROBE_SECONDS) is None
 
 
 def test_entries_asked_at_one_moment_do_not_come_back_at_one():
     ends = set()
     for seed in range(20):
-        board = RestBoard(random.Random(seed))
-        board.note("i1", 1, 3.0, 10.0)
+        board = BackoffTable(random.Random(seed))
+        board.add("i1", 1, 3.0, 10.0)
         ends.add(round(find_end(board), 3))
     assert min(ends) >= 13.0 and max(ends) <= 13.5
     assert len(ends) > 15
@@ -119,18 +119,18 @@
 @given(STEPS, strategies.integers(0, 9))
 def test_nothing_goes_to_a_life_at_rest_and_rests_end(steps, seed):
     # Any order of answers, also of ones to earlier lives, that come late.
-    board, now, born = RestBoard(random.Random(seed)), 0.0, 1
+    board, now, born = BackoffTable(random.Random(seed)), 0.0, 1
     owed: dict[int, float] = {}
     for step, seconds in steps:
         match step:
             case "ask":
                 late = born - (seconds > 3.0)
-                board.note("i1", late, seconds, now)
+                board.add("i1", late, seconds, now)
                 owed[late] = max(owed.get(late, 0.0), now + seconds)
             case "whole":
                 board.note_answered("i1", born, now)
             case "send":
-                if board.find_pause("i1", born, now) is None:
+                if board.find_delay("i1", born, now) is None:
                     assert now >= owed.get(born, 0.0)
                     board.note_sent("i1", born, now)
             case "restart":
@@ -138,4 +138,4 @@
                 born += 1
             case "wait":
                 now += seconds
-    assert board.find_pause("i1", born, now + 5.0) is None
+    assert board.find_delay("i1", born, now + 5.0) is None
--- a/packages/gateway/src/chivepier/gateway/limits/tests/test_limitboard.py
+++ b/packages/gateway/src/chivepier/gateway/limits/tests/test_limittable.py
@@ -5,14 +5,14 @@
 from hypothesis import settings
 from hypothesis import strategies
 
-from chivepier.gateway.limits import LimitBoard
-from chivepier.gateway.limits import LimitWord
-from chivepier.gateway.limits import MOST_UNKNOWN
+from chivepier.gateway.limits import InvalidLimit
+from chivepier.gateway.limits import LimitTable
+from chivepier.gateway.limits import MAX_UNKNOWN_TARGETS
 from chivepier.gateway.limits import NoLimit
-from chivepier.gateway.limits import pack_words
+from chivepier.gateway.limits import pack_limits
 from chivepier.gateway.limits import RateLimit
-from chivepier.gateway.limits import unpack_words
-from chivepier.gateway.limits import UnreadLimit
+from chivepier.gateway.limits import unpack_limits
+from chivepier.gateway.limits import VersionedLimit
 
 ENTRIES = 3
 RATES = (None, 0.0, 1.5, 3.0)
@@ -23,9 +23,11 @@
     return NoLimit() if rate is None else RateLimit(rate)
 
 
-def make_word(version: int, rate: float | None, born: int = 1) -> LimitWord:
+def make_word(
+    version: int, rate: float | None, born: int = 1
+) -> VersionedLimit:
     """Build a word about one target."""
-    return LimitWord(
+    return VersionedLimit(
         instance="i1",
         born=born,
         version=version,
@@ -36,39 +38,39 @@
 
 
 def test_late_answer_from_before_the_limit_does_not_end_it():
-    board = LimitBoard("e1")
-    board.note("i1", 1, None, RateLimit(1.5), 0.0)
-    assert not board.note("i1", 1, None, NoLimit(), 0.1)
+    board = LimitTable("e1")
+    board.observe("i1", 1, None, RateLimit(1.5), 0.0)
+    assert not board.observe("i1", 1, None, NoLimit(), 0.1)
     assert board.find_rate("i1", 1) == 1.5
 
 
 def test_answers_that_do_not_know_of_each_other_leave_the_lower_rate():
-    board = LimitBoard("e1")
-    board.note("i1", 1, None, RateLimit(2.0), 0.0)
-    board.note("i1", 1, None, RateLimit(1.0), 0.1)
-    board.note("i1", 1, None, RateLimit(3.0), 0.2)
+    board = LimitTable("e1")
+    board.observe("i1", 1, None, RateLimit(2.0), 0.0)
+    board.observe("i1", 1, None, RateLimit(1.0), 0.1)
+    board.observe("i1", 1, None, RateLimit(3.0), 0.2)
     assert board.find_rate("i1", 1) == 1.0
 
 
 def test_limit_rises_and_ends_with_answers_to_later_requests():
-    board = LimitBoard("e1")
-    board.note("i1", 1, None, RateLimit(1.0), 0.0)
-    board.note("i1", 1, board.find("i1", 1), RateLimit(2.0), 0.1)
+    board = LimitTable("e1")
+    board.observe("i1", 1, None, RateLimit(1.0), 0.0)
+    board.observe("i1", 1, board.find("i1", 1), RateLimit(2.0), 0.1)
     assert board.find_rate("i1", 1) == 2.0
-    board.note("i1", 1, board.find("i1", 1), NoLimit(), 0.2)
+    board.observe("i1", 1, board.find("i1", 1), NoLimit(), 0.2)
     assert board.find_rate("i1", 1) is None
 
 
 def test_limit_that_is_no_number_neither_sets_nor_ends_one():
-    board = LimitBoard("e1")
-    assert not board.note("i1", 1, None, UnreadLimit(), 0.0)
-    board.note("i1", 1, None, RateLimit(1.5), 0.0)
-    assert not board.note("i1", 1, board.find("i1", 1), UnreadLimit(), 0.1)
+    board = LimitTable("e1")
+    assert not board.observe("i1", 1, None, InvalidLimit(), 0.0)
+    board.observe("i1", 1, None, RateLimit(1.5), 0.0)
+    assert not board.observe("i1", 1, board.find("i1", 1), InvalidLimit(), 0.1)
     assert board.find_rate("i1", 1) == 1.5
 
 
 def test_next_life_of_a_target_is_not_bound_by_the_last_ones_limit():
-    board = LimitBoard("e1")
+    board = LimitTable("e1")
     board.put(make_word(9, 1.5, born=1))
     assert board.find_rate("i1", 2) is None
     board.put(make_word(1, 3.0, born=2))
@@ -77,7 +79,7 @@
 
 
 def test_rate_that_no_target_reaches_binds_nobody():
-    board = LimitBoard("e1")
+    board = LimitTable("e1")
     board.put(make_word(1, 1e9))
     assert board.find_rate("i1", 1) is None
     board.put(make_word(2, 0.0))
@@ -87,7 +89,7 @@
 def test_life_that_has_ended_takes_no_word_of_the_next_with_it():
     # The word about the next life came before its announcement, and the end
     # of the last one dropped it: the entry would send at full rate.
-    board = LimitBoard("e1")
+    board = LimitTable("e1")
     board.put(make_word(3, 0.5, born=1))
     board.put(make_word(1, 1.5, born=2))
     board.forget("i1", 1)
@@ -97,18 +99,18 @@
 
 
 def test_words_about_unknown_targets_do_not_pile_up():
-    board = LimitBoard("e1")
-    for number in range(MOST_UNKNOWN + 1):
-        board.note(f"i{number}", 1, None, RateLimit(1.5), 0.0)
+    board = LimitTable("e1")
+    for number in range(MAX_UNKNOWN_TARGETS + 1):
+        board.observe(f"i{number}", 1, None, RateLimit(1.5), 0.0)
     board.expire(["i0"])
-    assert len(list(board)) == MOST_UNKNOWN + 1
+    assert len(list(board)) == MAX_UNKNOWN_TARGETS + 1
     board.expire([])
     assert list(board) == [] and board.find_newer(0) == []
 
 
 def test_words_are_the_same_after_their_way_to_another_node():
     words = [make_word(1, 1.5), make_word(2, None), make_word(3, 0.0)]
-    told = unpack_words(pack_words(words, 5.0), 105.0)
+    told = unpack_limits(pack_limits(words, 5.0), 105.0)
     assert [attrs.evolve(word, seen=0.0) for word in told] == words
     assert {word.seen for word in told} == {100.0}
 
@@ -124,7 +126,7 @@
 @settings(derandomize=True, max_examples=300)
 @given(strategies.lists(WORDS, max_size=8), strategies.randoms())
 def test_any_order_and_repetition_leads_to_one_belief(words, rng):
-    first, second = LimitBoard("e1"), LimitBoard("e2")
+    first, second = LimitTable("e1"), LimitTable("e2")
     for word in words:
         first.put(word)
     again = words + words[:3]
@@ -139,7 +141,7 @@
 
     def __init__(self):
         self.rate = None
-        self.boards = [LimitBoard(f"e{n}") for n in range(ENTRIES)]
+        self.boards = [LimitTable(f"e{n}") for n in range(ENTRIES)]
         self.answers = []
 
     def send(self, entry: int) -> None:
@@ -152,7 +154,7 @@
         if self.answers:
             place %= len(self.answers)
             entry, known, limit = self.answers.pop(place)
-            self.boards[entry].note("i1", 1, known, limit, 0.0)
+            self.boards[entry].observe("i1", 1, known, limit, 0.0)
 
     def tell(self, source: int, to: int) -> None:
         """Let one entry's words reach another."""
--- a/packages/gateway/src/chivepier/gateway/limits/limitword.py
+++ b/packages/gateway/src/chivepier/gateway/limits/versionedlimit.py
@@ -4,7 +4,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class LimitWord:
+class VersionedLimit:
     """One belief, ordered after those that its finder knew.
 
     :param instance: the target's name
@@ -23,7 +23,7 @@
     source: str
     seen: float
 
-    def replaces(self, other: "LimitWord") -> bool:
+    def supersedes(self, other: "VersionedLimit") -> bool:
         """Tell whether this word is to be believed rather than another.
 
         Of words that did not know of each other the lower rate counts: which
--- a/packages/gateway/src/chivepier/gateway/permits/permits.py
+++ b/packages/gateway/src/chivepier/gateway/permits/permits.py
@@ -4,7 +4,7 @@
 
 from chivepier.gateway.config import Service
 from chivepier.gateway.eventlog import EventLog
-from chivepier.gateway.limits import LimitBoard
+from chivepier.gateway.limits import LimitTable
 from chivepier.gateway.messages import PermitAnswer
 from chivepier.gateway.messages import PermitRequest
 from chivepier.gateway.metrics import Metrics
@@ -63,7 +63,7 @@
         self,
         *,
         zones: Zones,
-        limits: LimitBoard,
+        limits: LimitTable,
         bound: ColdBound,
         ask: Ask,
         own: OwnPart,
@@ -100,7 +100,7 @@
             return False
         if now < target.warm_at:
             return True
-        readmitted = self._zones.find_readmitted(target.zone)
+        readmitted = self._zones.find_readmission(target.zone)
         return readmitted is not None and target.said < readmitted
 
     def find_rate(self, target: Target) -> float | None:
--- a/packages/gateway/src/chivepier/gateway/quarantine/__init__.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/__init__.py
@@ -1,16 +1,16 @@
 """Holding back requests under which target after target ends."""
 
 from chivepier.gateway.quarantine.clearance import Clearance
+from chivepier.gateway.quarantine.crashdetector import CrashDetector
 from chivepier.gateway.quarantine.digest import digest_request
 from chivepier.gateway.quarantine.digest import shorten
 from chivepier.gateway.quarantine.ending import Ending
 from chivepier.gateway.quarantine.hold import Hold
+from chivepier.gateway.quarantine.incarnation import Incarnation
 from chivepier.gateway.quarantine.ledger import Ledger
 from chivepier.gateway.quarantine.ledger import Record
-from chivepier.gateway.quarantine.life import Life
-from chivepier.gateway.quarantine.loss import Loss
-from chivepier.gateway.quarantine.lossjudge import LossJudge
-from chivepier.gateway.quarantine.orders import Orders
+from chivepier.gateway.quarantine.lostrequest import LostRequest
+from chivepier.gateway.quarantine.overrides import Overrides
 from chivepier.gateway.quarantine.quarantine import Quarantine
 from chivepier.gateway.quarantine.records import pack_records
 from chivepier.gateway.quarantine.records import unpack_records
--- a/packages/gateway/src/chivepier/gateway/quarantine/inquiry.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/crashcheck.py
@@ -4,16 +4,16 @@
 
 import attrs
 
-from chivepier.gateway.quarantine.loss import Loss
+from chivepier.gateway.quarantine.lostrequest import LostRequest
 from chivepier.gateway.targets import Target
 
 
 @attrs.define(eq=False)
-class Inquiry:
+class CrashCheck:
     """What is not known yet about one life of a target."""
 
     target: Target
     until: float
-    losses: list[Loss] = attrs.field(factory=list)
+    lost: list[LostRequest] = attrs.field(factory=list)
     watch: asyncio.Task | None = None
-    look: asyncio.Task | None = None
+    probe: asyncio.Task | None = None
--- a/packages/gateway/src/chivepier/gateway/quarantine/digest.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/digest.py
@@ -6,7 +6,7 @@
 # that another's request has.
 DIGEST_BYTES = 16
 # Characters of it in logs and settings: enough to tell requests apart there.
-SHOWN = 12
+SHORT_DIGEST_LENGTH = 12
 
 
 def digest_request(team: str | None, *parts: bytes) -> str:
@@ -36,4 +36,4 @@
 
 def shorten(digest: str) -> str:
     """Return a digest's head, for a line of a log."""
-    return digest[:SHOWN]
+    return digest[:SHORT_DIGEST_LENGTH]
--- a/packages/gateway/src/chivepier/gateway/quarantine/ending.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/ending.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from chivepier.gateway.quarantine.life import Life
+from chivepier.gateway.quarantine.incarnation import Incarnation
 
 
 @attrs.frozen
@@ -17,7 +17,7 @@
     """
 
     digest: str
-    life: Life
+    incarnation: Incarnation
     seen: float
     source: str
     how: str
--- a/packages/gateway/src/chivepier/gateway/quarantine/life.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/incarnation.py
@@ -6,7 +6,7 @@
 
 
 @attrs.frozen
-class Life:
+class Incarnation:
     """From one start of a target to its end.
 
     :param instance: its name, which the next life may have, too
@@ -17,6 +17,6 @@
     born: int
 
     @classmethod
-    def of(cls, target: Target) -> "Life":
+    def of(cls, target: Target) -> "Incarnation":
         """Return the life that an announcement is of."""
         return cls(target.instance, target.born)
--- a/packages/gateway/src/chivepier/gateway/quarantine/ledger.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/ledger.py
@@ -5,25 +5,25 @@
 from chivepier.gateway.quarantine.clearance import Clearance
 from chivepier.gateway.quarantine.ending import Ending
 from chivepier.gateway.quarantine.hold import Hold
-from chivepier.gateway.quarantine.life import Life
-from chivepier.gateway.quarantine.verdict import find_held
-from chivepier.gateway.quarantine.verdict import MOST_ENDS
+from chivepier.gateway.quarantine.incarnation import Incarnation
+from chivepier.gateway.quarantine.suspects import find_suspects
+from chivepier.gateway.quarantine.suspects import MIN_ENDINGS
 
 # Seconds for which an end counts.
-KEPT_SECONDS = 4 * 3600.0
+ENDING_TTL_SECONDS = 4 * 3600.0
 # Seconds for which the third end of a target keeps a request back, doubled by
 # each further one.
 HOLD_SECONDS = 600.0
 # Seconds after an answer in which ends are not held against the request: many
 # copies of a body that is often asked for run beside any end.
-SOUND_SECONDS = 60.0
+CLEARANCE_WINDOW_SECONDS = 60.0
 # Seconds for which an answer is remembered: longer than it counts, so that an
 # end that is told late meets it.
-CLEARANCE_SECONDS = 2 * SOUND_SECONDS
+CLEARANCE_TTL_SECONDS = 2 * CLEARANCE_WINDOW_SECONDS
 # Ends that are kept, all requests together.
-MOST_KEPT = 4_000
+MAX_RECORDS = 4_000
 # Ends that are kept of one request; more say nothing new.
-MOST_OF_ONE = 16
+MAX_ENDINGS_PER_REQUEST = 16
 
 Record = Ending | Clearance
 
@@ -39,7 +39,7 @@
 
     >>> ledger = Ledger()
     >>> for name in "abc":
-    ...     end = Ending("d", Life(name, 0), 5.0, "e1", "refused")
+    ...     end = Ending("d", Incarnation(name, 0), 5.0, "e1", "refused")
     ...     assert ledger.add(end)
     >>> ledger.find_hold("d", 6.0).until
     605.0
@@ -50,19 +50,19 @@
 
     def __init__(self) -> None:
         self.revision = 0
-        self._ends: dict[str, dict[Life, Ending]] = {}
+        self._endings: dict[str, dict[Incarnation, Ending]] = {}
         self._clearances: dict[str, Clearance] = {}
         # the key of each record with its revision, in the order of these
-        self._order: dict[tuple[str, Life | None], int] = {}
+        self._revisions: dict[tuple[str, Incarnation | None], int] = {}
         self.suspects: frozenset[str] = frozenset()
 
-    def knows(self, digest: str) -> bool:
+    def has_endings(self, digest: str) -> bool:
         """Tell whether a target has ended under a request."""
-        return digest in self._ends
+        return digest in self._endings
 
     def find_endings(self, digest: str) -> list[Ending]:
         """Return the ends of targets under a request, the oldest first."""
-        found = self._ends.get(digest, {}).values()
+        found = self._endings.get(digest, {}).values()
         return sorted(found, key=lambda ending: ending.seen)
 
     def find_hold(self, digest: str, now: float) -> Hold | None:
@@ -75,8 +75,8 @@
         if digest not in self.suspects:
             return None
         endings = self.find_endings(digest)
-        doubled = HOLD_SECONDS * 2 ** (len(endings) - MOST_ENDS)
-        until = endings[-1].seen + min(doubled, KEPT_SECONDS)
+        doubled = HOLD_SECONDS * 2 ** (len(endings) - MIN_ENDINGS)
+        until = endings[-1].seen + min(doubled, ENDING_TTL_SECONDS)
         return Hold(digest, tuple(endings), until) if now < until else None
 
     def find_held(self, now: float) -> set[str]:
@@ -97,8 +97,8 @@
 
     def find_newer(self, revision: int) -> collections.abc.Iterator[Record]:
         """Return the records since a revision, the newest first."""
-        for key in reversed(self._order):
-            if self._order[key] <= revision:
+        for key in reversed(self._revisions):
+            if self._revisions[key] <= revision:
                 return
             yield self._find(*key)
 
@@ -108,37 +108,37 @@
         :param now: monotonic seconds
         """
         old = [
-            (digest, life)
-            for digest, ends in self._ends.items()
-            for life, ending in ends.items()
-            if now - ending.seen >= KEPT_SECONDS
+            (digest, incarnation)
+            for digest, ends in self._endings.items()
+            for incarnation, ending in ends.items()
+            if now - ending.seen >= ENDING_TTL_SECONDS
         ]
-        for digest, life in old:
-            self._drop_ending(digest, life)
+        for digest, incarnation in old:
+            self._drop_ending(digest, incarnation)
         for clearance in list(self._clearances.values()):
-            if now - clearance.seen >= CLEARANCE_SECONDS:
+            if now - clearance.seen >= CLEARANCE_TTL_SECONDS:
                 self._drop_clearance(clearance.digest)
         if old:
-            self._judge()
+            self._update_suspects()
 
-    def _find(self, digest: str, life: Life | None) -> Record:
-        if life is None:
+    def _find(self, digest: str, incarnation: Incarnation | None) -> Record:
+        if incarnation is None:
             return self._clearances[digest]
-        return self._ends[digest][life]
+        return self._endings[digest][incarnation]
 
     def _add_ending(self, ending: Ending) -> bool:
-        digest, life = ending.digest, ending.life
-        known = self._ends.get(digest, {})
+        digest, incarnation = ending.digest, ending.incarnation
+        known = self._endings.get(digest, {})
         clearance = self._clearances.get(digest)
-        if life in known or clearance and _clears(clearance, ending):
+        if incarnation in known or clearance and _clears(clearance, ending):
             return False
-        if len(known) >= MOST_OF_ONE:
-            self._drop_ending(digest, self.find_endings(digest)[0].life)
-        self._make_room()
-        self._ends.setdefault(digest, {})[life] = ending
-        self._note((digest, life))
-        if len(self._ends[digest]) >= MOST_ENDS:
-            self._judge()
+        if len(known) >= MAX_ENDINGS_PER_REQUEST:
+            self._drop_ending(digest, self.find_endings(digest)[0].incarnation)
+        self._evict()
+        self._endings.setdefault(digest, {})[incarnation] = ending
+        self._assign_revision((digest, incarnation))
+        if len(self._endings[digest]) >= MIN_ENDINGS:
+            self._update_suspects()
         return True
 
     def _add_clearance(self, clearance: Clearance) -> bool:
@@ -148,55 +148,58 @@
             return False
         for ending in self.find_endings(digest):
             if _clears(clearance, ending):
-                self._drop_ending(digest, ending.life)
+                self._drop_ending(digest, ending.incarnation)
         if digest in self.suspects:
-            self._judge()
-        if known is None and len(self._clearances) >= MOST_KEPT:
+            self._update_suspects()
+        if known is None and len(self._clearances) >= MAX_RECORDS:
             oldest = min(self._clearances.values(), key=lambda c: c.seen)
             self._drop_clearance(oldest.digest)
         self._clearances[digest] = clearance
-        self._note((digest, None))
+        self._assign_revision((digest, None))
         return True
 
-    def _make_room(self) -> None:
+    def _evict(self) -> None:
         """Keep to the bound.
 
         What goes first are the oldest of the requests that met the fewest
         ends: most of those ran beside the cause and never come again, while
         a cause that is forgotten ends three more targets.
         """
-        if len(self._order) - len(self._clearances) < MOST_KEPT:
+        if len(self._revisions) - len(self._clearances) < MAX_RECORDS:
             return
-        for most in range(1, MOST_OF_ONE + 1):
-            for digest, life in self._order:
-                if life is not None and len(self._ends[digest]) <= most:
-                    self._drop_ending(digest, life)
+        for most in range(1, MAX_ENDINGS_PER_REQUEST + 1):
+            for digest, incarnation in self._revisions:
+                if (
+                    incarnation is not None
+                    and len(self._endings[digest]) <= most
+                ):
+                    self._drop_ending(digest, incarnation)
                     if digest in self.suspects:
-                        self._judge()
+                        self._update_suspects()
                     return
 
-    def _note(self, key: tuple[str, Life | None]) -> None:
+    def _assign_revision(self, key: tuple[str, Incarnation | None]) -> None:
         self.revision += 1
-        self._order.pop(key, None)
-        self._order[key] = self.revision
+        self._revisions.pop(key, None)
+        self._revisions[key] = self.revision
 
-    def _drop_ending(self, digest: str, life: Life) -> None:
-        ends = self._ends[digest]
-        del ends[life], self._order[(digest, life)]
+    def _drop_ending(self, digest: str, incarnation: Incarnation) -> None:
+        ends = self._endings[digest]
+        del ends[incarnation], self._revisions[(digest, incarnation)]
         if not ends:
-            del self._ends[digest]
+            del self._endings[digest]
 
     def _drop_clearance(self, digest: str) -> None:
-        del self._clearances[digest], self._order[(digest, None)]
+        del self._clearances[digest], self._revisions[(digest, None)]
 
-    def _judge(self) -> None:
+    def _update_suspects(self) -> None:
         ends = {
             digest: ends.keys()
-            for digest, ends in self._ends.items()
-            if len(ends) >= MOST_ENDS
+            for digest, ends in self._endings.items()
+            if len(ends) >= MIN_ENDINGS
         }
-        self.suspects = frozenset(find_held(ends))
+        self.suspects = frozenset(find_suspects(ends))
 
 
 def _clears(clearance: Clearance, ending: Ending) -> bool:
-    return ending.seen <= clearance.seen + SOUND_SECONDS
+    return ending.seen <= clearance.seen + CLEARANCE_WINDOW_SECONDS
--- a/packages/gateway/src/chivepier/gateway/quarantine/loss.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/lostrequest.py
@@ -6,7 +6,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Loss:
+class LostRequest:
     """What one entry saw of one send.
 
     :param id: the request's, of this attempt
--- a/packages/gateway/src/chivepier/gateway/quarantine/orders.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/overrides.py
@@ -5,22 +5,22 @@
 import attrs
 
 # Fewer characters could mean other requests, too.
-HEAD = re.compile("[0-9a-f]{8,32}")
+DIGEST_PREFIX = re.compile("[0-9a-f]{8,32}")
 
 
-def _check(orders: "Orders", field: attrs.Attribute, heads: tuple) -> None:
+def _check(orders: "Overrides", field: attrs.Attribute, heads: tuple) -> None:
     for head in heads:
-        if not HEAD.fullmatch(head):
+        if not DIGEST_PREFIX.fullmatch(head):
             text = f"{field.name} is not the head of a digest: {head!r}"
             raise ValueError(text)
 
 
 @attrs.frozen
-class Orders:
+class Overrides:
     """Digests' heads, as log lines show them; they go before the evidence.
 
-    >>> orders = Orders(let_through=("0a1b0a1b",), keep_out=("ffffffff",))
-    >>> orders.lets_through("0a1b0a1b22"), orders.keeps_out("0a1b0a1b22")
+    >>> orders = Overrides(let_through=("0a1b0a1b",), keep_out=("ffffffff",))
+    >>> orders.allows("0a1b0a1b22"), orders.blocks("0a1b0a1b22")
     (True, False)
 
     :param let_through: requests that are sent whatever has ended under them
@@ -31,10 +31,10 @@
     let_through: tuple[str, ...] = attrs.field(default=(), validator=_check)
     keep_out: tuple[str, ...] = attrs.field(default=(), validator=_check)
 
-    def lets_through(self, digest: str) -> bool:
+    def allows(self, digest: str) -> bool:
         """Tell whether a request goes on whatever the evidence."""
         return digest.startswith(self.let_through)
 
-    def keeps_out(self, digest: str) -> bool:
+    def blocks(self, digest: str) -> bool:
         """Tell whether a request is turned away without any."""
         return digest.startswith(self.keep_out)
--- a/packages/gateway/src/chivepier/gateway/quarantine/quarantine.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/quarantine.py
@@ -5,25 +5,25 @@
 from chivepier.gateway.eventlog import EventLog
 from chivepier.gateway.metrics import Metrics
 from chivepier.gateway.quarantine.clearance import Clearance
+from chivepier.gateway.quarantine.crashdetector import CrashDetector
+from chivepier.gateway.quarantine.crashdetector import Probe
 from chivepier.gateway.quarantine.digest import shorten
 from chivepier.gateway.quarantine.ending import Ending
 from chivepier.gateway.quarantine.hold import Hold
+from chivepier.gateway.quarantine.incarnation import Incarnation
 from chivepier.gateway.quarantine.ledger import HOLD_SECONDS
 from chivepier.gateway.quarantine.ledger import Ledger
 from chivepier.gateway.quarantine.ledger import Record
-from chivepier.gateway.quarantine.life import Life
-from chivepier.gateway.quarantine.loss import Loss
-from chivepier.gateway.quarantine.lossjudge import LossJudge
-from chivepier.gateway.quarantine.lossjudge import Probe
-from chivepier.gateway.quarantine.orders import Orders
-from chivepier.gateway.quarantine.soundmemory import SoundMemory
-from chivepier.gateway.quarantine.verdict import MOST_ENDS
+from chivepier.gateway.quarantine.lostrequest import LostRequest
+from chivepier.gateway.quarantine.overrides import Overrides
+from chivepier.gateway.quarantine.recentanswers import RecentAnswers
+from chivepier.gateway.quarantine.suspects import MIN_ENDINGS
 from chivepier.gateway.targets import Target
 from chivepier.gateway.targets import TargetTable
 from chivepier.types import Clock
 
 # Seconds between two rounds of dropping what no longer counts.
-EXPIRE_SECONDS = 5.0
+EXPIRY_INTERVAL_SECONDS = 5.0
 
 Publish = collections.abc.Callable[[Record], None]
 Watcher = collections.abc.Callable[[str], None]
@@ -54,13 +54,13 @@
         me: str,
         table: TargetTable,
         probe: Probe,
-        orders: Orders,
+        orders: Overrides,
         clock: Clock,
         log: EventLog,
         metrics: Metrics,
     ):
         self.ledger = Ledger()
-        self.judge = LossJudge(table, probe, self._report, clock)
+        self.detector = CrashDetector(table, probe, self._report_ending, clock)
         self.publish: Publish = lambda record: None
         self.watchers: list[Watcher] = []
         self._held: set[str] = set()
@@ -70,7 +70,7 @@
         self._clock = clock
         self._log = log
         self._metrics = metrics
-        self._sound = SoundMemory()
+        self._recent_answers = RecentAnswers()
 
     @property
     def idle(self) -> bool:
@@ -83,18 +83,18 @@
         :param digest: the request's
         :returns: the evidence, or nothing
         """
-        if self.orders.lets_through(digest):
+        if self.orders.allows(digest):
             return None
         now = self._clock.monotonic()
-        if self.orders.keeps_out(digest):
+        if self.orders.blocks(digest):
             return Hold(digest, (), now + HOLD_SECONDS)
         return self.ledger.find_hold(digest, now)
 
-    def note_loss(self, loss: Loss) -> None:
+    def note_loss(self, loss: LostRequest) -> None:
         """Take that a target was lost under a request."""
-        self.judge.note(loss)
+        self.detector.investigate(loss)
 
-    async def settle(self, digest: str, target: Target) -> None:
+    async def wait_for_check(self, digest: str, target: Target) -> None:
         """Wait for a moment until it is known why a request was lost.
 
         Only where one more end would hold it back: others are sent elsewhere
@@ -103,8 +103,8 @@
         :param digest: the request's
         :param target: where it was lost
         """
-        if len(self.ledger.find_endings(digest)) >= MOST_ENDS - 1:
-            await self.judge.settle(target)
+        if len(self.ledger.find_endings(digest)) >= MIN_ENDINGS - 1:
+            await self.detector.wait_for_probe(target)
 
     def note_answered(self, digest: str) -> None:
         """Take that a target answered a request whole: it lives on.
@@ -112,8 +112,8 @@
         :param digest: the request's
         """
         now = self._clock.monotonic()
-        self._sound.note(digest, now)
-        if self.ledger.knows(digest):
+        self._recent_answers.add(digest, now)
+        if self.ledger.has_endings(digest):
             self._clear(digest, now)
 
     def note_refused(self, identity: str, team: str, hold: Hold) -> None:
@@ -133,8 +133,8 @@
             until_s=round(hold.until - now),
             ends=[
                 {
-                    "target": ending.life.instance,
-                    "born": ending.life.born,
+                    "target": ending.incarnation.instance,
+                    "born": ending.incarnation.born,
                     "age_s": round(now - ending.seen, 1),
                     "source": ending.source,
                     "how": ending.how,
@@ -143,30 +143,32 @@
             ],
         )
 
-    def take(self, records: collections.abc.Iterable[Record]) -> None:
+    def merge(self, records: collections.abc.Iterable[Record]) -> None:
         """Take what others saw."""
         now = self._clock.monotonic()
         for record in records:
             if not self._add(record):
                 continue
             match record:
-                case Ending(digest=digest, life=life, seen=seen):
-                    self.judge.note_ended(life, seen, "told")
-                    if self._sound.recall(digest, now) is not None:
-                        self._clear(digest, self._sound.recall(digest, now))
+                case Ending(digest=digest, incarnation=incarnation, seen=seen):
+                    self.detector.note_ended(incarnation, seen, "told")
+                    if self._recent_answers.find(digest, now) is not None:
+                        self._clear(
+                            digest, self._recent_answers.find(digest, now)
+                        )
 
     def expire(self) -> None:
         """Drop what no longer counts."""
         now = self._clock.monotonic()
-        if now - self._expired_at < EXPIRE_SECONDS:
+        if now - self._expired_at < EXPIRY_INTERVAL_SECONDS:
             return
         self._expired_at = now
         self.ledger.expire(now)
-        self._note_held("time")
+        self._update_held("time")
 
-    def _report(self, loss: Loss, how: str) -> None:
+    def _report_ending(self, loss: LostRequest, how: str) -> None:
         """Take that a target has ended under a request of this entry."""
-        sound = self._sound.recall(loss.digest, loss.at)
+        sound = self._recent_answers.find(loss.digest, loss.at)
         if sound is not None:
             # its copies are at many targets, and were answered by others
             self._log.info(
@@ -177,8 +179,8 @@
                 answered_s=round(loss.at - sound, 1),
             )
             return
-        life = Life.of(loss.target)
-        ending = Ending(loss.digest, life, loss.at, self._me, how)
+        incarnation = Incarnation.of(loss.target)
+        ending = Ending(loss.digest, incarnation, loss.at, self._me, how)
         if not self._add(ending):
             return
         self._metrics.note_quarantine("suspected")
@@ -187,8 +189,8 @@
             id=loss.id,
             digest=shorten(loss.digest),
             team=loss.team,
-            target=life.instance,
-            born=life.born,
+            target=incarnation.instance,
+            born=incarnation.born,
             how=how,
             ends=len(self.ledger.find_endings(loss.digest)),
         )
@@ -204,10 +206,10 @@
     def _add(self, record: Record) -> bool:
         news = self.ledger.add(record)
         if news:
-            self._note_held(type(record).__name__.lower())
+            self._update_held(type(record).__name__.lower())
         return news
 
-    def _note_held(self, reason: str) -> None:
+    def _update_held(self, reason: str) -> None:
         before = self._held
         self._held = held = self.ledger.find_held(self._clock.monotonic())
         for digest in held - before:
--- a/packages/gateway/src/chivepier/gateway/quarantine/soundmemory.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/recentanswers.py
@@ -1,24 +1,24 @@
 """Requests that were answered lately."""
 
-from chivepier.gateway.quarantine.ledger import SOUND_SECONDS
+from chivepier.gateway.quarantine.ledger import CLEARANCE_WINDOW_SECONDS
 
 # Requests that are remembered.
-MOST_REMEMBERED = 4_096
+MAX_RECENT_ANSWERS = 4_096
 
 
-class SoundMemory:
+class RecentAnswers:
     """Remembers which requests targets answered whole, the newest of them.
 
-    >>> memory = SoundMemory()
-    >>> memory.note("d", 5.0)
-    >>> memory.recall("d", 6.0), memory.recall("d", 66.0)
+    >>> memory = RecentAnswers()
+    >>> memory.add("d", 5.0)
+    >>> memory.find("d", 6.0), memory.find("d", 66.0)
     (5.0, None)
     """
 
     def __init__(self) -> None:
         self._answered: dict[str, float] = {}
 
-    def note(self, digest: str, now: float) -> None:
+    def add(self, digest: str, now: float) -> None:
         """Note that a request was answered.
 
         :param digest: the request's
@@ -26,16 +26,16 @@
         """
         self._answered.pop(digest, None)
         self._answered[digest] = now
-        if len(self._answered) > MOST_REMEMBERED:
+        if len(self._answered) > MAX_RECENT_ANSWERS:
             del self._answered[next(iter(self._answered))]
 
-    def recall(self, digest: str, now: float) -> float | None:
+    def find(self, digest: str, now: float) -> float | None:
         """Return when a request was answered last, if that still counts.
 
         :param digest: the request's
         :param now: monotonic seconds
         """
         answered = self._answered.get(digest)
-        if answered is None or now - answered >= SOUND_SECONDS:
+        if answered is None or now - answered >= CLEARANCE_WINDOW_SECONDS:
             return None
         return answered
--- a/packages/gateway/src/chivepier/gateway/quarantine/records.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/records.py
@@ -7,8 +7,8 @@
 from chivepier.gateway.messages import QuarantineNotice
 from chivepier.gateway.quarantine.clearance import Clearance
 from chivepier.gateway.quarantine.ending import Ending
+from chivepier.gateway.quarantine.incarnation import Incarnation
 from chivepier.gateway.quarantine.ledger import Record
-from chivepier.gateway.quarantine.life import Life
 
 
 def pack_records(
@@ -23,10 +23,17 @@
     for record in records:
         age = max(0.0, now - record.seen)
         match record:
-            case Ending(digest=digest, life=life, source=source, how=how):
+            case Ending(
+                digest=digest, incarnation=incarnation, source=source, how=how
+            ):
                 endings.append(
                     EndingRecord(
-                        digest, life.instance, life.born, age, source, how
+                        digest,
+                        incarnation.instance,
+                        incarnation.born,
+                        age,
+                        source,
+                        how,
                     )
                 )
             case Clearance(digest=digest, source=source):
@@ -44,7 +51,7 @@
     endings = [
         Ending(
             record.digest,
-            Life(record.instance, record.born),
+            Incarnation(record.instance, record.born),
             now - record.age,
             record.source,
             record.how,
--- a/packages/gateway/src/chivepier/gateway/quarantine/verdict.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/suspects.py
@@ -3,16 +3,18 @@
 import collections.abc
 import itertools
 
-from chivepier.gateway.quarantine.life import Life
+from chivepier.gateway.quarantine.incarnation import Incarnation
 
 # Ends of targets under one request after which it is held back: two may happen
 # to one that ran beside the cause and was sent again.
-MOST_ENDS = 3
+MIN_ENDINGS = 3
 
-Ends = collections.abc.Mapping[str, collections.abc.Set[Life]]
+IncarnationsByDigest = collections.abc.Mapping[
+    str, collections.abc.Set[Incarnation]
+]
 
 
-def find_held(ends: Ends) -> set[str]:
+def find_suspects(ends: IncarnationsByDigest) -> set[str]:
     """Find the requests to hold back.
 
     All that ran at a target was there when it ended, and a request that is
@@ -20,17 +22,18 @@
     most targets have ended are taken first; where each end that another one
     met is one of theirs, it is explained, and the other one goes on.
 
-    >>> a, b, c, d = (Life(name, 0) for name in "abcd")
-    >>> find_held({"cause": {a, b, c, d}, "beside": {a, b, c}, "once": {d}})
+    >>> a, b, c, d = (Incarnation(name, 0) for name in "abcd")
+    >>> beside, once = {a, b, c}, {d}
+    >>> find_suspects({"cause": {a, b, c, d}, "beside": beside, "once": once})
     {'cause'}
 
     :param ends: lives of targets that ended, by the request's digest
     :returns: digests
     """
-    suspects = [d for d, lives in ends.items() if len(lives) >= MOST_ENDS]
+    suspects = [d for d, lives in ends.items() if len(lives) >= MIN_ENDINGS]
     suspects.sort(key=lambda digest: len(ends[digest]), reverse=True)
     held: set[str] = set()
-    explained: set[Life] = set()
+    explained: set[Incarnation] = set()
     for _, equals in itertools.groupby(suspects, lambda d: len(ends[d])):
         # of those that met equally many, none explains the other
         fresh = [digest for digest in equals if not ends[digest] <= explained]
--- a/packages/gateway/src/chivepier/gateway/quarantine/tests/test_lossjudge.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/tests/test_crashdetector.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from chivepier.gateway.quarantine.life import Life
-from chivepier.gateway.quarantine.loss import Loss
-from chivepier.gateway.quarantine.lossjudge import EARLY_SECONDS
-from chivepier.gateway.quarantine.lossjudge import FOUND_SECONDS
-from chivepier.gateway.quarantine.lossjudge import LIVED_SECONDS
-from chivepier.gateway.quarantine.lossjudge import LossJudge
-from chivepier.gateway.quarantine.lossjudge import NOTICE_SECONDS
+from chivepier.gateway.quarantine.crashdetector import ALIVE_CHECK_SECONDS
+from chivepier.gateway.quarantine.crashdetector import CHECK_SECONDS
+from chivepier.gateway.quarantine.crashdetector import CrashDetector
+from chivepier.gateway.quarantine.crashdetector import LEAVING_GRACE_SECONDS
+from chivepier.gateway.quarantine.crashdetector import SUSPECT_WINDOW_SECONDS
+from chivepier.gateway.quarantine.incarnation import Incarnation
+from chivepier.gateway.quarantine.lostrequest import LostRequest
 from chivepier.gateway.targets import Liveness
 from chivepier.gateway.targets import Target
 from chivepier.gateway.targets import TargetState
@@ -29,7 +29,7 @@
         self.table = TargetTable(BEAT)
         self.liveness = Liveness.LIVES
         self.reports: list[tuple[str, str]] = []
-        self.judge = LossJudge(
+        self.detector = CrashDetector(
             self.table, self._probe, self._report, self.clock
         )
         self.announce("a", 1)
@@ -62,7 +62,9 @@
         }
         self.table.put(Target(**{**fields, **changes}))
 
-    def lose(self, digest: str = "d", name: str = "a", **changes) -> Loss:
+    def lose(
+        self, digest: str = "d", name: str = "a", **changes
+    ) -> LostRequest:
         """Lose a request that was just sent."""
         now = self.clock.monotonic()
         fields = {
@@ -75,8 +77,8 @@
             "broke": True,
             "at": now,
         }
-        loss = Loss(**{**fields, **changes})
-        self.judge.note(loss)
+        loss = LostRequest(**{**fields, **changes})
+        self.detector.investigate(loss)
         return loss
 
     async def pass_time(self, seconds: float) -> None:
@@ -98,7 +100,7 @@
     async def work():
         scene = Scene()
         await test(scene)
-        await scene.judge.close()
+        await scene.detector.close()
 
     asyncio.run(work())
 
@@ -107,7 +109,7 @@
     async def test(scene):
         scene.liveness = Liveness.ENDED
         loss = scene.lose()
-        await scene.judge.settle(loss.target)
+        await scene.detector.wait_for_probe(loss.target)
         assert scene.reports == [("d", "refused")]
 
     play(test)
@@ -118,7 +120,7 @@
     # with one came again, elsewhere; the targets live.
     async def test(scene):
         scene.lose()
-        await scene.pass_time(LIVED_SECONDS + 1.0)
+        await scene.pass_time(ALIVE_CHECK_SECONDS + 1.0)
         scene.announce("a", 1, born=2)
         assert scene.reports == []
 
@@ -167,7 +169,7 @@
     async def test(scene):
         scene.liveness = Liveness.UNKNOWN
         scene.lose()
-        await scene.pass_time(FOUND_SECONDS + 2.0)
+        await scene.pass_time(CHECK_SECONDS + 2.0)
         assert scene.reports == []
 
     play(test)
@@ -191,7 +193,7 @@
     async def test(scene):
         scene.liveness = Liveness.ENDED
         now = scene.clock.monotonic()
-        scene.lose(begun=now - EARLY_SECONDS - 0.1)
+        scene.lose(begun=now - SUSPECT_WINDOW_SECONDS - 0.1)
         scene.lose("early", begun=now - 0.1)
         await scene.rest()
         assert scene.reports == [("early", "refused")]
@@ -201,7 +203,7 @@
 
 @pytest.mark.parametrize(
     ("seconds", "reports"),
-    [(0.25, [("d", "refused")]), (NOTICE_SECONDS + 0.5, [])],
+    [(0.25, [("d", "refused")]), (LEAVING_GRACE_SECONDS + 0.5, [])],
 )
 def test_end_that_was_announced_accuses_nobody(seconds, reports):
     # A target is taken away two seconds after its notice, and what runs there
@@ -223,7 +225,9 @@
         scene.lose("before", broke=False)
         await scene.pass_time(3.0)
         scene.lose("with")
-        scene.judge.note_ended(Life("a", 1), scene.clock.monotonic(), "told")
+        scene.detector.note_ended(
+            Incarnation("a", 1), scene.clock.monotonic(), "told"
+        )
         scene.lose("after")
         assert scene.reports == [("with", "told"), ("after", "told")]
 
@@ -234,7 +238,7 @@
     async def test(scene):
         for number in range(20):
             scene.lose(f"d{number}")
-        await scene.pass_time(FOUND_SECONDS + 1.0)
-        assert not scene.judge._inquiries and not scene.judge._tasks
+        await scene.pass_time(CHECK_SECONDS + 1.0)
+        assert not scene.detector._checks and not scene.detector._tasks
 
     play(test)
--- a/packages/gateway/src/chivepier/gateway/quarantine/tests/test_ledger.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/tests/test_ledger.py
@@ -7,13 +7,13 @@
 
 from chivepier.gateway.quarantine.clearance import Clearance
 from chivepier.gateway.quarantine.ending import Ending
+from chivepier.gateway.quarantine.incarnation import Incarnation
+from chivepier.gateway.quarantine.ledger import CLEARANCE_WINDOW_SECONDS
+from chivepier.gateway.quarantine.ledger import ENDING_TTL_SECONDS
 from chivepier.gateway.quarantine.ledger import HOLD_SECONDS
-from chivepier.gateway.quarantine.ledger import KEPT_SECONDS
 from chivepier.gateway.quarantine.ledger import Ledger
-from chivepier.gateway.quarantine.ledger import MOST_KEPT
-from chivepier.gateway.quarantine.ledger import MOST_OF_ONE
-from chivepier.gateway.quarantine.ledger import SOUND_SECONDS
-from chivepier.gateway.quarantine.life import Life
+from chivepier.gateway.quarantine.ledger import MAX_ENDINGS_PER_REQUEST
+from chivepier.gateway.quarantine.ledger import MAX_RECORDS
 from chivepier.gateway.quarantine.records import pack_records
 from chivepier.gateway.quarantine.records import unpack_records
 
@@ -23,7 +23,7 @@
 
 def end(digest: str, name: str, seen: float = 100.0) -> Ending:
     """Let a target end under a request."""
-    return Ending(digest, Life(name, 1), seen, "e1", "refused")
+    return Ending(digest, Incarnation(name, 1), seen, "e1", "refused")
 
 
 def fill(ledger: Ledger, digest: str, count: int, seen: float = 100.0) -> None:
@@ -50,15 +50,19 @@
     fill(ledger, "d", 3)
     ledger.add(end("d", "next", 1000.0))
     assert ledger.find_hold("d", 1001.0).until == 1000.0 + 2 * HOLD_SECONDS
-    ledger.expire(1000.0 + KEPT_SECONDS)
-    assert not ledger.knows("d") and not ledger.suspects
+    ledger.expire(1000.0 + ENDING_TTL_SECONDS)
+    assert not ledger.has_endings("d") and not ledger.suspects
 
 
 def test_same_end_told_by_two_entries_counts_once():
     ledger = Ledger()
     assert ledger.add(end("d", "i1"))
-    assert not ledger.add(Ending("d", Life("i1", 1), 100.5, "e2", "told"))
-    assert ledger.add(Ending("d", Life("i1", 2), 105.0, "e2", "refused"))
+    assert not ledger.add(
+        Ending("d", Incarnation("i1", 1), 100.5, "e2", "told")
+    )
+    assert ledger.add(
+        Ending("d", Incarnation("i1", 2), 105.0, "e2", "refused")
+    )
 
 
 def test_answer_clears_what_was_seen_before_and_shortly_after():
@@ -66,10 +70,10 @@
     # second; another copy of it had been answered just before.
     ledger = Ledger()
     fill(ledger, "d", 3)
-    ledger.add(Clearance("d", 100.0 - SOUND_SECONDS / 2, "e2"))
-    assert ledger.find_hold("d", NOW) is None and not ledger.knows("d")
+    ledger.add(Clearance("d", 100.0 - CLEARANCE_WINDOW_SECONDS / 2, "e2"))
+    assert ledger.find_hold("d", NOW) is None and not ledger.has_endings("d")
     assert not ledger.add(end("d", "late", 101.0))
-    fill(ledger, "d", 3, 100.0 + 2 * SOUND_SECONDS)
+    fill(ledger, "d", 3, 100.0 + 2 * CLEARANCE_WINDOW_SECONDS)
     assert ledger.find_hold("d", NOW) is not None
 
 
@@ -78,11 +82,11 @@
     # Were the oldest dropped, the cause would be forgotten with them.
     ledger = Ledger()
     fill(ledger, "cause", 3)
-    for number in range(2 * MOST_KEPT):
+    for number in range(2 * MAX_RECORDS):
         ledger.add(end(f"beside{number}", "i", 200.0 + number))
     assert ledger.find_hold("cause", NOW) is not None
-    assert len(list(ledger.find_newer(0))) <= MOST_KEPT
-    assert not ledger.knows("beside0")
+    assert len(list(ledger.find_newer(0))) <= MAX_RECORDS
+    assert not ledger.has_endings("beside0")
 
 
 def test_one_request_takes_no_more_than_its_share_of_the_room():
@@ -90,7 +94,7 @@
     for number in range(100):
         ledger.add(end("d", f"i{number}", float(number)))
     kept = ledger.find_endings("d")
-    assert len(kept) == MOST_OF_ONE and kept[-1].seen == 99.0
+    assert len(kept) == MAX_ENDINGS_PER_REQUEST and kept[-1].seen == 99.0
 
 
 def test_records_since_a_revision_are_told():
@@ -137,7 +141,7 @@
     # There were more causes than there is room. One that lost its ends to
     # the others must not be looked up among the suspects any more.
     ledger = Ledger()
-    for number in range(MOST_KEPT // 3 + 100):
+    for number in range(MAX_RECORDS // 3 + 100):
         fill(ledger, f"cause{number}", 3)
     assert ledger.find_held(NOW) == ledger.suspects
     assert all(len(ledger.find_endings(d)) >= 3 for d in ledger.suspects)
--- a/packages/gateway/src/chivepier/gateway/serving/answerfacts.py
+++ b/packages/gateway/src/chivepier/gateway/serving/answerfacts.py
@@ -2,10 +2,10 @@
 
 import attrs
 
+from chivepier.gateway.limits import Backoff
 from chivepier.gateway.limits import Limit
+from chivepier.gateway.limits import NoBackoff
 from chivepier.gateway.limits import NoLimit
-from chivepier.gateway.limits import NoRest
-from chivepier.gateway.limits import Rest
 
 
 @attrs.frozen(kw_only=True)
@@ -30,6 +30,6 @@
     crossed: bool = False
     framed: bool = True
     limit: Limit | None = NoLimit()
-    rest: Rest = NoRest()
+    rest: Backoff = NoBackoff()
     leaving: bool = False
     unread: tuple[str, ...] = ()
--- a/packages/gateway/src/chivepier/gateway/serving/guard.py
+++ b/packages/gateway/src/chivepier/gateway/serving/guard.py
@@ -2,7 +2,7 @@
 
 import datetime
 
-from chivepier.gateway.quarantine import Loss
+from chivepier.gateway.quarantine import LostRequest
 from chivepier.gateway.quarantine import Quarantine
 from chivepier.gateway.serving.answerfacts import AnswerFacts
 from chivepier.gateway.serving.plan import Plan
@@ -70,7 +70,7 @@
         :param broke: whether the connection broke; else nothing came in time
         """
         self._quarantine.note_loss(
-            Loss(
+            LostRequest(
                 id=plan.request.id,
                 digest=plan.digest,
                 team=plan.team,
@@ -84,7 +84,7 @@
 
     async def settle(self, plan: Plan, target: Target) -> None:
         """Wait for a moment until it is known why a request was lost."""
-        await self._quarantine.settle(plan.digest, target)
+        await self._quarantine.wait_for_check(plan.digest, target)
 
     def note_answered(self, plan: Plan, facts: AnswerFacts) -> None:
         """Take that a target answered a request whole.
--- a/packages/gateway/src/chivepier/gateway/serving/remarks.py
+++ b/packages/gateway/src/chivepier/gateway/serving/remarks.py
@@ -1,14 +1,14 @@
 """What targets say of themselves beside their answers."""
 
 from chivepier.gateway.eventlog import EventLog
-from chivepier.gateway.limits import AskedRest
-from chivepier.gateway.limits import LimitBoard
-from chivepier.gateway.limits import LimitWord
-from chivepier.gateway.limits import NoRest
-from chivepier.gateway.limits import Rest
-from chivepier.gateway.limits import RestBoard
-from chivepier.gateway.limits import UnreadLimit
-from chivepier.gateway.limits import UnreadRest
+from chivepier.gateway.limits import Backoff
+from chivepier.gateway.limits import BackoffTable
+from chivepier.gateway.limits import InvalidBackoff
+from chivepier.gateway.limits import InvalidLimit
+from chivepier.gateway.limits import LimitTable
+from chivepier.gateway.limits import NoBackoff
+from chivepier.gateway.limits import RequestedBackoff
+from chivepier.gateway.limits import VersionedLimit
 from chivepier.gateway.metrics import Metrics
 from chivepier.gateway.serving.answerfacts import AnswerFacts
 from chivepier.gateway.targets import Leavers
@@ -41,8 +41,8 @@
 
     def __init__(
         self,
-        limits: LimitBoard,
-        rests: RestBoard,
+        limits: LimitTable,
+        rests: BackoffTable,
         leavers: Leavers,
         table: TargetTable,
         clock: Clock,
@@ -58,12 +58,12 @@
         self._metrics = metrics
         self._unread: set[str] = set()
 
-    def find_word(self, target: Target) -> LimitWord | None:
+    def find_word(self, target: Target) -> VersionedLimit | None:
         """Return what is believed of a target's limit."""
         return self._limits.find(target.instance, target.born)
 
     def take(
-        self, target: Target, facts: AnswerFacts, known: LimitWord | None
+        self, target: Target, facts: AnswerFacts, known: VersionedLimit | None
     ) -> None:
         """Note an answer's head.
 
@@ -87,10 +87,10 @@
         match facts.limit:
             case None:
                 pass
-            case UnreadLimit():
+            case InvalidLimit():
                 self._note_unread(target, UNREAD_LIMIT)
             case limit:
-                self._limits.note(
+                self._limits.observe(
                     target.instance,
                     target.born,
                     known,
@@ -108,16 +108,16 @@
                 number=target.number,
             )
 
-    def _take_rest(self, target: Target, rest: Rest) -> None:
+    def _take_rest(self, target: Target, rest: Backoff) -> None:
         now = self._clock.monotonic()
         instance, born = target.instance, target.born
         match rest:
-            case NoRest():
+            case NoBackoff():
                 self._rests.note_answered(instance, born, now)
-            case AskedRest(seconds=seconds):
+            case RequestedBackoff(seconds=seconds):
                 self._metrics.note_rest(target.service)
-                if self._rests.note(instance, born, seconds, now):
-                    pause = self._rests.find_pause(instance, born, now)
+                if self._rests.add(instance, born, seconds, now):
+                    pause = self._rests.find_delay(instance, born, now)
                     self._log.info(
                         "rest_asked",
                         target=instance,
@@ -127,7 +127,7 @@
                         kept_s=round(pause, 3),
                         at_rest=self._rests.count(now),
                     )
-            case UnreadRest():
+            case InvalidBackoff():
                 self._note_unread(target, UNREAD_REST)
 
     def _note_unread(self, target: Target, name: str) -> None:
@@ -141,6 +141,6 @@
         self._metrics.note_unread_header(name)
 
 
-def describe_rest(rest: Rest) -> float | None:
+def describe_rest(rest: Backoff) -> float | None:
     """Return the seconds that a target asked for, for the log."""
-    return rest.seconds if isinstance(rest, AskedRest) else None
+    return rest.seconds if isinstance(rest, RequestedBackoff) else None
--- a/packages/gateway/src/chivepier/gateway/serving/sendgate.py
+++ b/packages/gateway/src/chivepier/gateway/serving/sendgate.py
@@ -3,7 +3,7 @@
 import collections.abc
 
 from chivepier.gateway.config import Service
-from chivepier.gateway.limits import RestBoard
+from chivepier.gateway.limits import BackoffTable
 from chivepier.gateway.metrics import Metrics
 from chivepier.gateway.permits import Claim
 from chivepier.gateway.permits import Permit
@@ -44,7 +44,7 @@
         zones: Zones,
         table: TargetTable,
         permits: Permits,
-        rests: RestBoard,
+        rests: BackoffTable,
         freshness: Freshness,
         clock: Clock,
         metrics: Metrics,
@@ -118,7 +118,7 @@
         return "permit" if now > permit.until else None
 
     def _find_rest(self, target: Target, now: float) -> float | None:
-        return self._rests.find_pause(target.instance, target.born, now)
+        return self._rests.find_delay(target.instance, target.born, now)
 
     def note_sent(self, target: Target) -> None:
         """Note that something is being sent to a target."""
--- a/packages/gateway/src/chivepier/gateway/serving/targetcontact.py
+++ b/packages/gateway/src/chivepier/gateway/serving/targetcontact.py
@@ -1,6 +1,6 @@
 """One exchange with a target."""
 
-from chivepier.gateway.limits import LimitWord
+from chivepier.gateway.limits import VersionedLimit
 from chivepier.gateway.permits import Permit
 from chivepier.gateway.serving.answerfacts import AnswerFacts
 from chivepier.gateway.serving.errand import Errand
@@ -32,7 +32,7 @@
         self._permit = permit
         self._gate = gate
         self._remarks = remarks
-        self._known: LimitWord | None = None
+        self._known: VersionedLimit | None = None
 
     def begin(self) -> None:
         """Look once more, with the connection standing.
--- a/packages/gateway/src/chivepier/gateway/serving/tests/parts.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/parts.py
@@ -15,9 +15,9 @@
 from chivepier.gateway.config import Service
 from chivepier.gateway.config import Team
 from chivepier.gateway.eventlog import EventLog
-from chivepier.gateway.limits import LimitBoard
-from chivepier.gateway.limits import LimitWord
-from chivepier.gateway.limits import RestBoard
+from chivepier.gateway.limits import BackoffTable
+from chivepier.gateway.limits import LimitTable
+from chivepier.gateway.limits import VersionedLimit
 from chivepier.gateway.messages import LoadRecord
 from chivepier.gateway.messages import PermitAnswer
 from chivepier.gateway.messages import PermitRequest
@@ -28,8 +28,8 @@
 from chivepier.gateway.permits import Permits
 from chivepier.gateway.permits import Turn
 from chivepier.gateway.quarantine import Ending
-from chivepier.gateway.quarantine import Life
-from chivepier.gateway.quarantine import Orders
+from chivepier.gateway.quarantine import Incarnation
+from chivepier.gateway.quarantine import Overrides
 from chivepier.gateway.quarantine import Quarantine
 from chivepier.gateway.quarantine import shorten
 from chivepier.gateway.serving import CallerRequest
@@ -137,8 +137,8 @@
         self._lines = tempfile.TemporaryFile()
         log = EventLog("e1", self._lines.fileno())
         rng = random.Random(1)
-        self.limits = LimitBoard("e1")
-        self.rests = RestBoard(rng)
+        self.limits = LimitTable("e1")
+        self.rests = BackoffTable(rng)
         chooser = Chooser(
             self.table,
             self.health,
@@ -189,7 +189,7 @@
             "e1",
             self.table,
             calls.probe,
-            Orders(),
+            Overrides(),
             clock,
             log,
             Metrics(),
@@ -250,7 +250,7 @@
         """Let a target name a limit, or none any more, to another entry."""
         word = self.limits.find(name, 0)
         self.limits.put(
-            LimitWord(
+            VersionedLimit(
                 instance=name,
                 born=0,
                 version=word.version + 1 if word else 1,
@@ -290,8 +290,10 @@
         """Let three targets of another entry have ended under a request."""
         digest = self.planner.plan(request).digest
         now = tell_time()
-        self.quarantine.take(
-            Ending(digest, Life(f"other{number}", 1), now, "e2", "refused")
+        self.quarantine.merge(
+            Ending(
+                digest, Incarnation(f"other{number}", 1), now, "e2", "refused"
+            )
             for number in range(3)
         )
 
@@ -305,7 +307,7 @@
             (shorten(self.planner.plan(request).digest),) if request else ()
             for request in (let_through, keep_out)
         ]
-        self.quarantine.orders = Orders(*heads)
+        self.quarantine.orders = Overrides(*heads)
 
     def leave(self, name: str) -> None:
         """Let a target say that it leaves."""
@@ -412,6 +414,6 @@
             parts = Parts(*names, **options)
             await test(parts)
             await parts.mover.close()
-            await parts.quarantine.judge.close()
+            await parts.quarantine.detector.close()
 
     play_time(work())
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_remarks.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_remarks.py
@@ -5,14 +5,14 @@
 import tempfile
 
 from chivepier.gateway.eventlog import EventLog
-from chivepier.gateway.limits import AskedRest
-from chivepier.gateway.limits import LimitBoard
+from chivepier.gateway.limits import BackoffTable
+from chivepier.gateway.limits import InvalidBackoff
+from chivepier.gateway.limits import InvalidLimit
+from chivepier.gateway.limits import LimitTable
+from chivepier.gateway.limits import NoBackoff
 from chivepier.gateway.limits import NoLimit
-from chivepier.gateway.limits import NoRest
 from chivepier.gateway.limits import RateLimit
-from chivepier.gateway.limits import RestBoard
-from chivepier.gateway.limits import UnreadLimit
-from chivepier.gateway.limits import UnreadRest
+from chivepier.gateway.limits import RequestedBackoff
 from chivepier.gateway.metrics import Metrics
 from chivepier.gateway.serving import AnswerFacts
 from chivepier.gateway.serving import Remarks
@@ -30,8 +30,8 @@
         self._lines = tempfile.TemporaryFile()
         self.metrics = Metrics()
         log = EventLog("e1", self._lines.fileno(), lambda: 0.0)
-        self.limits = LimitBoard("e1")
-        self.rests = RestBoard(random.Random(1))
+        self.limits = LimitTable("e1")
+        self.rests = BackoffTable(random.Random(1))
         self.clock = ManualClock()
         self.table = TargetTable(1.0)
         self.leavers = Leavers(self.table)
@@ -69,7 +69,7 @@
 def test_limit_that_is_no_number_changes_no_belief():
     noted = Noted()
     noted.take(limit=RateLimit(1.5))
-    noted.take(limit=UnreadLimit())
+    noted.take(limit=InvalidLimit())
     assert noted.limits.find_rate("i1", 0) == 1.5
     (line,) = noted.read_lines()
     assert line["event"] == "header_unread"
@@ -95,7 +95,7 @@
 def test_rest_is_logged_once_and_counted_each_time():
     noted = Noted()
     for _ in range(3):
-        noted.take(rest=AskedRest(3.0))
+        noted.take(rest=RequestedBackoff(3.0))
     (line,) = noted.read_lines()
     assert (line["event"], line["seconds"]) == ("rest_asked", 3.0)
     counted = b'chivepier_rests_total{service="llm"} 3.0'
@@ -104,8 +104,8 @@
 
 def test_rest_that_is_no_number_is_told():
     noted = Noted()
-    noted.take(rest=UnreadRest())
-    noted.take(rest=NoRest())
+    noted.take(rest=InvalidBackoff())
+    noted.take(rest=NoBackoff())
     (line,) = noted.read_lines()
     assert line["header"] == "rest that is no number"
     assert not noted.rests
@@ -113,7 +113,7 @@
 
 def test_another_instance_at_the_address_asks_for_itself():
     noted = Noted()
-    noted.take(rest=AskedRest(3.0), other_instance="i2")
+    noted.take(rest=RequestedBackoff(3.0), other_instance="i2")
     assert not noted.rests
 
 
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_rests.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_rests.py
@@ -6,8 +6,8 @@
 import pytest
 
 from chivepier.gateway.config import Service
-from chivepier.gateway.limits import AskedRest
-from chivepier.gateway.limits import NoRest
+from chivepier.gateway.limits import NoBackoff
+from chivepier.gateway.limits import RequestedBackoff
 from chivepier.gateway.serving import AnswerFacts
 from chivepier.gateway.serving import MoveOutcome
 from chivepier.gateway.serving.tests.fakeengines import make_target
@@ -24,19 +24,19 @@
 from chivepier.types import Ran
 
 RESERVING = attrs.evolve(ENGINE, reserve_seconds=2.0)
-TOLD = AnswerFacts(not_run=True, rest=AskedRest(3.0))
+TOLD = AnswerFacts(not_run=True, rest=RequestedBackoff(3.0))
 
 
 def refuse(parts: Parts, *names: str, seconds: float = 3.0) -> None:
     """Let targets turn away what they get and ask for rest."""
     parts.engines.refuse |= set(names)
-    parts.engines.refusal = attrs.evolve(TOLD, rest=AskedRest(seconds))
+    parts.engines.refusal = attrs.evolve(TOLD, rest=RequestedBackoff(seconds))
 
 
 def ask(parts: Parts, *names: str, seconds: float = 3.0) -> None:
     """Let this entry have been asked for rest by targets."""
     for name in names:
-        parts.rests.note(name, 0, seconds, tell_time())
+        parts.rests.add(name, 0, seconds, tell_time())
 
 
 def count_sends(parts: Parts, name: str) -> int:
@@ -184,7 +184,9 @@
 def test_reservation_that_is_refused_with_rest_is_kept_to():
     async def test(parts):
         parts.engines.full.add("a")
-        parts.engines.full_facts = AnswerFacts(rest=AskedRest(5.0), limit=None)
+        parts.engines.full_facts = AnswerFacts(
+            rest=RequestedBackoff(5.0), limit=None
+        )
         tasks = []
         for _ in range(5):
             tasks.append(parts.start(make_request("/llm/x"))[1])
@@ -255,7 +257,7 @@
         answer_all(parts)
         ask(parts, "w-a", seconds=0.05)
         await asyncio.sleep(0.06)
-        parts.engines.facts = AnswerFacts(rest=NoRest())
+        parts.engines.facts = AnswerFacts(rest=NoBackoff())
         await parts.serve(make_request("/plain/x"))
         assert not parts.rests
 
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_zonerules.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_zonerules.py
@@ -355,12 +355,12 @@
         put(parts, "b1", "b")
         parts.freshness._heard -= 60.0
         asked = asyncio.Event()
-        parts.freshness.ask = asked.set
+        parts.freshness.request_update = asked.set
         _, task = parts.start(make_request("/llm/x"))
         await asked.wait()
         assert not parts.engines.orders
         parts.evacuate("a")
-        parts.freshness.note_word()
+        parts.freshness.note_update()
         run = await parts.engines.wait_run(1)
         await finish(task, run, 1)
         assert sent_to(parts) == {"b1"}
@@ -374,7 +374,7 @@
         parts.engines.failing["w-a1"] = 200
         parts.freshness._heard -= 60.0
         asked = []
-        parts.freshness.ask = lambda: asked.append(1)
+        parts.freshness.request_update = lambda: asked.append(1)
         for _ in range(3):
             await parts.serve(make_request("/plain/x"))
         assert len(asked) == 1 and len(parts.engines.orders) == 3
--- a/packages/gateway/src/chivepier/gateway/settings/entrysettings.py
+++ b/packages/gateway/src/chivepier/gateway/settings/entrysettings.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from chivepier.gateway.quarantine import Orders
+from chivepier.gateway.quarantine import Overrides
 
 # Of all bodies, where the memory of the instance isn't told.
 USUAL_BODY_BYTES = 32 << 20
@@ -42,7 +42,7 @@
     repeat_window: float
     grace: float
     body_bytes: int = USUAL_BODY_BYTES
-    orders: Orders = Orders()
+    orders: Overrides = Overrides()
     regions: collections.abc.Mapping[str, str] = attrs.Factory(dict)
     cold_excess: float = 1.0
     cold_slack: float = 0.0
--- a/packages/gateway/src/chivepier/gateway/targets/chooser.py
+++ b/packages/gateway/src/chivepier/gateway/targets/chooser.py
@@ -4,8 +4,8 @@
 import random
 
 from chivepier.gateway.config import Engine
-from chivepier.gateway.limits import LimitBoard
-from chivepier.gateway.limits import RestBoard
+from chivepier.gateway.limits import BackoffTable
+from chivepier.gateway.limits import LimitTable
 from chivepier.gateway.targets.demand import Demand
 from chivepier.gateway.targets.load import Load
 from chivepier.gateway.targets.loadboard import LoadBoard
@@ -70,11 +70,11 @@
         zone: str,
         clock: Clock,
         rng: random.Random,
-        limits: LimitBoard | None = None,
-        rests: RestBoard | None = None,
+        limits: LimitTable | None = None,
+        rests: BackoffTable | None = None,
     ):
-        self._rests = RestBoard(rng) if rests is None else rests
-        self._limits = LimitBoard() if limits is None else limits
+        self._rests = BackoffTable(rng) if rests is None else rests
+        self._limits = LimitTable() if limits is None else limits
         self._table = table
         self._health = health
         self._board = board
@@ -186,7 +186,7 @@
         return [t for t in found if self._find_pause(t, now) is None]
 
     def _find_pause(self, target: Target, now: float) -> float | None:
-        return self._rests.find_pause(target.instance, target.born, now)
+        return self._rests.find_delay(target.instance, target.born, now)
 
     def select(
         self,
--- a/packages/gateway/src/chivepier/gateway/zones/zones.py
+++ b/packages/gateway/src/chivepier/gateway/zones/zones.py
@@ -6,7 +6,7 @@
 
 # Seconds for which a voter's presumption of an order counts at an entry; it is
 # said again with each beat.
-PRESUMED_SECONDS = 3.0
+PRESUMPTION_TTL_SECONDS = 3.0
 
 Watcher = collections.abc.Callable[[ZoneOrder], None]
 
@@ -44,11 +44,11 @@
         return tuple(self._orders.values())
 
     @property
-    def newest(self) -> int:
+    def last_index(self) -> int:
         """The highest log index of an order; -1 without any."""
         return max((o.index for o in self._orders.values()), default=-1)
 
-    def knows(self, zone: str) -> bool:
+    def has_zone(self, zone: str) -> bool:
         """Tell whether the settings name a zone."""
         return zone in self._regions
 
@@ -117,7 +117,7 @@
             return False
         return regions is None or self.find_region(zone) in regions
 
-    def find_readmitted(self, zone: str) -> float | None:
+    def find_readmission(self, zone: str) -> float | None:
         """Return when a zone was last taken back, in monotonic seconds.
 
         :param zone: its name
--- a/tests/adapter/test_heads.py
+++ b/tests/adapter/test_heads.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from chivepier.gateway.limits import AskedRest
+from chivepier.gateway.limits import InvalidBackoff
+from chivepier.gateway.limits import InvalidLimit
+from chivepier.gateway.limits import NoBackoff
 from chivepier.gateway.limits import NoLimit
-from chivepier.gateway.limits import NoRest
 from chivepier.gateway.limits import RateLimit
-from chivepier.gateway.limits import UnreadLimit
-from chivepier.gateway.limits import UnreadRest
+from chivepier.gateway.limits import RequestedBackoff
 from exchange import answer
 from exchange import FULL
 from exchange import ORDER
@@ -26,11 +26,11 @@
         (b"Server-Limit: 1e9\r\n", RateLimit(1e9)),
         (b"Server-Limit: 3\r\nServer-Limit: 2\r\n", RateLimit(2.0)),
         (b"Server-Limit: 3, 2\r\n", RateLimit(2.0)),
-        (b"Server-Limit: -1\r\n", UnreadLimit()),
-        (b"Server-Limit: nan\r\n", UnreadLimit()),
-        (b"Server-Limit: inf\r\n", UnreadLimit()),
-        (b"Server-Limit: few\r\n", UnreadLimit()),
-        (b"Server-Limit:\r\n", UnreadLimit()),
+        (b"Server-Limit: -1\r\n", InvalidLimit()),
+        (b"Server-Limit: nan\r\n", InvalidLimit()),
+        (b"Server-Limit: inf\r\n", InvalidLimit()),
+        (b"Server-Limit: few\r\n", InvalidLimit()),
+        (b"Server-Limit:\r\n", InvalidLimit()),
     ),
 )
 def test_limit_is_read_of_an_answer(header, limit):
@@ -54,35 +54,39 @@
 @pytest.mark.parametrize(
     ("status", "header", "rest"),
     (
-        (FULL, b"", NoRest()),
-        (FULL, b"Retry-After: 3\r\n", AskedRest(3.0)),
-        (FULL, b"retry-after:  0.25 \r\n", AskedRest(0.25)),
-        (b"429 Busy", b"Retry-After: 2\r\n", AskedRest(2.0)),
-        (b"200 OK", b"Retry-After: 3\r\n", NoRest()),
-        (b"421 Other", b"Retry-After: 3\r\n", NoRest()),
-        (FULL, b"Retry-After: 0\r\n", NoRest()),
-        (FULL, b"Retry-After: 1e9\r\n", AskedRest(1e9)),
-        (FULL, b"Retry-After: 1\r\nRetry-After: 4\r\n", AskedRest(4.0)),
-        (FULL, b"Retry-After: soon\r\nRetry-After: 4\r\n", AskedRest(4.0)),
-        (FULL, b"Retry-After: -1\r\n", UnreadRest()),
-        (FULL, b"Retry-After: nan\r\n", UnreadRest()),
-        (FULL, b"Retry-After: inf\r\n", UnreadRest()),
-        (FULL, b"Retry-After: soon\r\n", UnreadRest()),
-        (FULL, b"Retry-After:\r\n", UnreadRest()),
+        (FULL, b"", NoBackoff()),
+        (FULL, b"Retry-After: 3\r\n", RequestedBackoff(3.0)),
+        (FULL, b"retry-after:  0.25 \r\n", RequestedBackoff(0.25)),
+        (b"429 Busy", b"Retry-After: 2\r\n", RequestedBackoff(2.0)),
+        (b"200 OK", b"Retry-After: 3\r\n", NoBackoff()),
+        (b"421 Other", b"Retry-After: 3\r\n", NoBackoff()),
+        (FULL, b"Retry-After: 0\r\n", NoBackoff()),
+        (FULL, b"Retry-After: 1e9\r\n", RequestedBackoff(1e9)),
+        (FULL, b"Retry-After: 1\r\nRetry-After: 4\r\n", RequestedBackoff(4.0)),
+        (
+            FULL,
+            b"Retry-After: soon\r\nRetry-After: 4\r\n",
+            RequestedBackoff(4.0),
+        ),
+        (FULL, b"Retry-After: -1\r\n", InvalidBackoff()),
+        (FULL, b"Retry-After: nan\r\n", InvalidBackoff()),
+        (FULL, b"Retry-After: inf\r\n", InvalidBackoff()),
+        (FULL, b"Retry-After: soon\r\n", InvalidBackoff()),
+        (FULL, b"Retry-After:\r\n", InvalidBackoff()),
         (
             FULL,
             NOON + b"Retry-After: Thu, 03 Dec 2026 12:00:05 GMT\r\n",
-            AskedRest(5.0),
+            RequestedBackoff(5.0),
         ),
         (
             FULL,
             NOON + b"Retry-After: Thu, 03 Dec 2026 11:00:00 GMT\r\n",
-            NoRest(),
+            NoBackoff(),
         ),
         (
             FULL,
             b"Retry-After: Thu, 03 Dec 2026 12:00:05 GMT\r\n",
-            UnreadRest(),
+            InvalidBackoff(),
         ),
     ),
 )
--- a/tests/adapter/test_settings.py
+++ b/tests/adapter/test_settings.py
@@ -50,8 +50,8 @@
 def test_digests_of_requests_are_checked():
     # A head of two digits would keep out every request of a hundred.
     entry = make().make_entry(("0a1b0a1b0a1b",), ("ffffffff",))
-    assert entry.orders.lets_through("0a1b0a1b0a1b22")
-    assert entry.orders.keeps_out("ffffffff")
+    assert entry.orders.allows("0a1b0a1b0a1b22")
+    assert entry.orders.blocks("ffffffff")
     for wrong in ("", "0a", "0A1B0A1B", "0a1b0a1b-"):
         with pytest.raises(SettingsError, match="keep_out is not the head"):
             make().make_entry((), (wrong,))
--- a/tests/adapter/test_targets.py
+++ b/tests/adapter/test_targets.py
@@ -5,7 +5,7 @@
 import pytest
 
 from adapter.targets import Targets
-from chivepier.gateway.limits import AskedRest
+from chivepier.gateway.limits import RequestedBackoff
 from chivepier.gateway.serving import AnswerCutError
 from chivepier.gateway.serving import LostError
 from chivepier.gateway.serving import MoveOutcome
@@ -527,6 +527,6 @@
         contact = Free()
         await CALLS[kind](targets, raw.make_target(), contact)
         (facts,) = contact.heard
-        assert (facts.rest, facts.leaving) == (AskedRest(2.0), True)
+        assert (facts.rest, facts.leaving) == (RequestedBackoff(2.0), True)
 
     run(script, test)
