--- a/packages/gateway/src/chivepier/gateway/limits/backofftable.py
+++ b/packages/gateway/src/chivepier/gateway/limits/backofftable.py
@@ -68,8 +68,8 @@
         """
         self._drop_expired(now)
         seconds = min(seconds, MAX_BACKOFF_SECONDS)
-        spread = min(JITTER_RATIO * seconds, MAX_JITTER_SECONDS)
-        until = now + seconds + self._rng.uniform(0.0, spread)
+        jitter = min(JITTER_RATIO * seconds, MAX_JITTER_SECONDS)
+        until = now + seconds + self._rng.uniform(0.0, jitter)
         known = self._backoffs.get((instance, born))
         if known is None or known.until <= now:
             self._backoffs[(instance, born)] = ActiveBackoff(until, now)
@@ -80,11 +80,11 @@
 
     def _find(self, instance: str, born: int) -> ActiveBackoff | None:
         found = [
-            rest
-            for life in (born, NEXT_INCARNATION)
-            if (rest := self._backoffs.get((instance, life))) is not None
+            backoff
+            for start in (born, NEXT_INCARNATION)
+            if (backoff := self._backoffs.get((instance, start))) is not None
         ]
-        return max(found, key=lambda rest: rest.until, default=None)
+        return max(found, key=lambda backoff: backoff.until, default=None)
 
     def find_delay(self, instance: str, born: int, now: float) -> float | None:
         """Return the seconds after which a target may be sent something.
@@ -94,32 +94,32 @@
         :param now: monotonic seconds
         :returns: ``None`` where it may be now
         """
-        rest = self._find(instance, born)
-        if rest is None:
+        backoff = self._find(instance, born)
+        if backoff is None:
             return None
-        if now < rest.until:
-            return rest.until - now
-        return PROBE_POLL_SECONDS if now < rest.probe_until else None
+        if now < backoff.until:
+            return backoff.until - now
+        return PROBE_POLL_SECONDS if now < backoff.probe_until else None
 
     def note_sent(self, instance: str, born: int, now: float) -> None:
         """Note that something is being sent to a target.
 
         The first after a rest holds the others back until it is answered.
         """
-        rest = self._find(instance, born)
-        if rest is not None:
-            rest.probe_until = now + PROBE_SECONDS
+        backoff = self._find(instance, born)
+        if backoff is not None:
+            backoff.probe_until = now + PROBE_SECONDS
 
     def note_answered(self, instance: str, born: int, now: float) -> None:
         """Note an answer that asks for no rest; one within a rest is late."""
-        rest = self._find(instance, born)
-        if rest is not None and now >= rest.until:
-            for life in (born, NEXT_INCARNATION):
-                self._backoffs.pop((instance, life), None)
+        backoff = self._find(instance, born)
+        if backoff is not None and now >= backoff.until:
+            for start in (born, NEXT_INCARNATION):
+                self._backoffs.pop((instance, start), None)
 
     def count(self, now: float) -> int:
         """Return how many targets are at rest."""
-        return sum(now < rest.until for rest in self._backoffs.values())
+        return sum(now < backoff.until for backoff in self._backoffs.values())
 
     def end_incarnation(self, instance: str, born: int, heard: float) -> None:
         """Drop what a life had asked for that the next one has ended.
@@ -131,13 +131,13 @@
         :param born: start of the life that has ended
         :param heard: when it last spoke, in monotonic seconds
         """
-        rest = self._backoffs.get((instance, born))
+        backoff = self._backoffs.get((instance, born))
         self.forget(instance, born)
-        if rest is not None and rest.requested_at > heard:
-            rest.until = min(
-                rest.until, rest.requested_at + MAX_INHERITED_SECONDS
+        if backoff is not None and backoff.requested_at > heard:
+            backoff.until = min(
+                backoff.until, backoff.requested_at + MAX_INHERITED_SECONDS
             )
-            self._backoffs[(instance, NEXT_INCARNATION)] = rest
+            self._backoffs[(instance, NEXT_INCARNATION)] = backoff
 
     def forget(self, instance: str, born: int) -> None:
         """Drop what a life that has ended had asked for.
@@ -145,15 +145,15 @@
         :param instance: the target's name
         :param born: start of that life; rests of a later one stay
         """
-        for name, life in list(self._backoffs):
-            if name == instance and life <= born:
-                del self._backoffs[(name, life)]
+        for name, start in list(self._backoffs):
+            if name == instance and start <= born:
+                del self._backoffs[(name, start)]
 
     def _drop_expired(self, now: float) -> None:
         if len(self._backoffs) < MAX_BACKOFFS:
             return
         self._backoffs = {
-            life: rest
-            for life, rest in self._backoffs.items()
-            if now < rest.until
+            start: backoff
+            for start, backoff in self._backoffs.items()
+            if now < backoff.until
         }
--- a/packages/gateway/src/chivepier/gateway/limits/limittable.py
+++ b/packages/gateway/src/chivepier/gateway/limits/limittable.py
@@ -78,7 +78,7 @@
                 return False
         if rate == (known.rate if known else None):
             return False
-        word = VersionedLimit(
+        record = VersionedLimit(
             instance=instance,
             born=born,
             version=known.version + 1 if known else 1,
@@ -86,37 +86,41 @@
             source=self._me,
             seen=now,
         )
-        return self.put(word)
+        return self.put(record)
 
-    def put(self, word: VersionedLimit) -> bool:
+    def put(self, record: VersionedLimit) -> bool:
         """Take a word, also of another node.
 
         :returns: whether it was news
         """
-        before = self._limits.get(word.instance)
-        if before is not None and not word.supersedes(before):
+        before = self._limits.get(record.instance)
+        if before is not None and not record.supersedes(before):
             return False
-        self._limits[word.instance] = word
+        self._limits[record.instance] = record
         self.revision = next(self._revisions)
-        self._changed_at[word.instance] = self.revision
+        self._changed_at[record.instance] = self.revision
         for watcher in self.watchers:
-            watcher(word, before)
+            watcher(record, before)
         return True
 
     def find(self, instance: str, born: int) -> VersionedLimit | None:
         """Return what is believed of one life of a target."""
-        word = self._limits.get(instance)
-        return word if word is not None and word.born == born else None
+        record = self._limits.get(instance)
+        return record if record is not None and record.born == born else None
 
     def find_rate(self, instance: str, born: int) -> float | None:
         """Return the requests a second that a target takes.
 
         :returns: ``None`` where nothing bounds them
         """
-        word = self.find(instance, born)
-        if word is None or word.rate is None or word.rate >= UNLIMITED_RATE:
+        record = self.find(instance, born)
+        if (
+            record is None
+            or record.rate is None
+            or record.rate >= UNLIMITED_RATE
+        ):
             return None
-        return word.rate
+        return record.rate
 
     def find_newer(
         self, revision: int, own_only: bool = False
@@ -139,8 +143,8 @@
         :param instance: the target's name
         :param born: start of that life; words about a later one stay
         """
-        word = self._limits.get(instance)
-        if word is not None and word.born <= born:
+        record = self._limits.get(instance)
+        if record is not None and record.born <= born:
             self._drop(instance)
 
     def expire(self, instances: collections.abc.Iterable[str]) -> None:
--- a/packages/gateway/src/chivepier/gateway/limits/records.py
+++ b/packages/gateway/src/chivepier/gateway/limits/records.py
@@ -10,7 +10,7 @@
 
 
 def pack_limits(
-    words: collections.abc.Iterable[VersionedLimit], now: float
+    limits: collections.abc.Iterable[VersionedLimit], now: float
 ) -> tuple[LimitRecord, ...]:
     """Turn words into messages.
 
@@ -19,14 +19,14 @@
     """
     return tuple(
         LimitRecord(
-            word.instance,
-            word.born,
-            word.version,
-            NO_LIMIT if word.rate is None else word.rate,
-            word.source,
-            max(0.0, now - word.seen),
+            limit.instance,
+            limit.born,
+            limit.version,
+            NO_LIMIT if limit.rate is None else limit.rate,
+            limit.source,
+            max(0.0, now - limit.seen),
         )
-        for word in words
+        for limit in limits
     )
 
 
--- a/packages/gateway/src/chivepier/gateway/limits/tests/test_backofftable.py
+++ b/packages/gateway/src/chivepier/gateway/limits/tests/test_backofftable.py
@@ -13,70 +13,70 @@
 from chivepier.gateway.limits import PROBE_SECONDS
 
 
-def make_board(seconds: float = 3.0) -> BackoffTable:
+def make_table(seconds: float = 3.0) -> BackoffTable:
     """Make a board whose target asked for rest at moment 10."""
-    board = BackoffTable(random.Random(1))
-    board.add("i1", 1, seconds, 10.0)
-    return board
+    table = BackoffTable(random.Random(1))
+    table.add("i1", 1, seconds, 10.0)
+    return table
 
 
-def find_end(board: BackoffTable, now: float = 10.0) -> float:
+def find_end(table: BackoffTable, now: float = 10.0) -> float:
     """Return when the target may be sent something again."""
-    return now + board.find_delay("i1", 1, now)
+    return now + table.find_delay("i1", 1, now)
 
 
 def test_shorter_rest_ends_no_longer_one():
-    board = make_board()
-    end = find_end(board)
-    assert not board.add("i1", 1, 0.5, 10.1)
-    assert find_end(board) == end
-    board.add("i1", 1, 9.0, 10.2)
-    assert find_end(board) >= 19.2
+    table = make_table()
+    end = find_end(table)
+    assert not table.add("i1", 1, 0.5, 10.1)
+    assert find_end(table) == end
+    table.add("i1", 1, 9.0, 10.2)
+    assert find_end(table) >= 19.2
 
 
 def test_late_answer_that_asks_for_nothing_ends_no_rest():
-    board = make_board()
-    board.note_answered("i1", 1, 11.0)
-    assert board.find_delay("i1", 1, 12.9) is not None
+    table = make_table()
+    table.note_answered("i1", 1, 11.0)
+    assert table.find_delay("i1", 1, 12.9) is not None
 
 
 def test_rest_binds_one_life_alone():
-    board = make_board()
-    assert board.find_delay("i1", 2, 11.0) is None
-    board.add("i1", 2, 3.0, 11.0)
-    board.forget("i1", 1)
-    assert board.find_delay("i1", 1, 11.0) is None
-    assert board.find_delay("i1", 2, 11.0) is not None
+    table = make_table()
+    assert table.find_delay("i1", 2, 11.0) is None
+    table.add("i1", 2, 3.0, 11.0)
+    table.forget("i1", 1)
+    assert table.find_delay("i1", 1, 11.0) is None
+    assert table.find_delay("i1", 2, 11.0) is not None
 
 
 def test_rest_that_the_next_life_may_have_asked_for_holds_for_it():
     # A target had started again, and asked for rest before its announcement
     # came: what it asked counted as its earlier life's, and it was sent more.
-    board = make_board(5.0)
-    board.end_incarnation("i1", 1, heard=9.5)
-    assert board.find_delay("i1", 2, 14.9) is not None
-    board.note_answered("i1", 2, 12.0)
-    assert board.find_delay("i1", 2, 14.9) is not None
-    board.note_answered("i1", 2, 16.0)
-    assert not board
+    table = make_table(5.0)
+    table.end_incarnation("i1", 1, heard=9.5)
+    assert table.find_delay("i1", 2, 14.9) is not None
+    table.note_answered("i1", 2, 12.0)
+    assert table.find_delay("i1", 2, 14.9) is not None
+    table.note_answered("i1", 2, 16.0)
+    assert not table
 
 
 def test_rest_that_the_earlier_life_asked_for_ends_with_it():
-    board = make_board(5.0)
-    board.end_incarnation("i1", 1, heard=10.5)
-    assert board.find_delay("i1", 2, 11.0) is None
-    assert not board
+    table = make_table(5.0)
+    table.end_incarnation("i1", 1, heard=10.5)
+    assert table.find_delay("i1", 2, 11.0) is None
+    assert not table
 
 
 def test_rest_of_either_life_is_bounded():
-    board = make_board(3_000.0)
-    board.end_incarnation("i1", 1, heard=9.5)
-    assert board.find_delay("i1", 2, 10.0 + MAX_INHERITED_SECONDS) is None
+    table = make_table(3_000.0)
+    table.end_incarnation("i1", 1, heard=9.5)
+    assert table.find_delay("i1", 2, 10.0 + MAX_INHERITED_SECONDS) is None
 
 
 def test_rest_of_more_than_an_hour_is_one_hour():
-    board = make_board(1e12)
-    end = find_end(board)
+    table = make_table(1e12)
+    end = find_end(table)
     assert MAX_BACKOFF_SECONDS <= end - 10.0 <= MAX_BACKOFF_SECONDS + 0.5
 
 
@@ -84,24 +84,24 @@
 def test_what_waited_for_the_end_of_a_rest_comes_after_the_first_answer(
     answered,
 ):
-    board = make_board()
-    end = find_end(board)
-    assert board.find_delay("i1", 1, end) is None
-    board.note_sent("i1", 1, end)
-    assert board.find_delay("i1", 1, end + 0.01) is not None
+    table = make_table()
+    end = find_end(table)
+    assert table.find_delay("i1", 1, end) is None
+    table.note_sent("i1", 1, end)
+    assert table.find_delay("i1", 1, end + 0.01) is not None
     if answered:
-        board.note_answered("i1", 1, end + 0.02)
-        assert not board
+        table.note_answered("i1", 1, end + 0.02)
+        assert not table
     else:
-        assert board.find_delay("i1", 1, end + PROBE_SECONDS) is None
+        assert table.find_delay("i1", 1, end + PROBE_SECONDS) is None
 
 
 def test_entries_asked_at_one_moment_do_not_come_back_at_one():
     ends = set()
     for seed in range(20):
-        board = BackoffTable(random.Random(seed))
-        board.add("i1", 1, 3.0, 10.0)
-        ends.add(round(find_end(board), 3))
+        table = BackoffTable(random.Random(seed))
+        table.add("i1", 1, 3.0, 10.0)
+        ends.add(round(find_end(table), 3))
     assert min(ends) >= 13.0 and max(ends) <= 13.5
     assert len(ends) > 15
 
@@ -119,23 +119,23 @@
 @given(STEPS, strategies.integers(0, 9))
 def test_nothing_goes_to_a_life_at_rest_and_rests_end(steps, seed):
     # Any order of answers, also of ones to earlier lives, that come late.
-    board, now, born = BackoffTable(random.Random(seed)), 0.0, 1
-    owed: dict[int, float] = {}
+    table, now, born = BackoffTable(random.Random(seed)), 0.0, 1
+    earliest: dict[int, float] = {}
     for step, seconds in steps:
         match step:
             case "ask":
                 late = born - (seconds > 3.0)
-                board.add("i1", late, seconds, now)
-                owed[late] = max(owed.get(late, 0.0), now + seconds)
+                table.add("i1", late, seconds, now)
+                earliest[late] = max(earliest.get(late, 0.0), now + seconds)
             case "whole":
-                board.note_answered("i1", born, now)
+                table.note_answered("i1", born, now)
             case "send":
-                if board.find_delay("i1", born, now) is None:
-                    assert now >= owed.get(born, 0.0)
-                    board.note_sent("i1", born, now)
+                if table.find_delay("i1", born, now) is None:
+                    assert now >= earliest.get(born, 0.0)
+                    table.note_sent("i1", born, now)
             case "restart":
-                board.forget("i1", born)
+                table.forget("i1", born)
                 born += 1
             case "wait":
                 now += seconds
-    assert board.find_delay("i1", born, now + 5.0) is None
+    assert table.find_delay("i1", born, now + 5.0) is None
--- a/packages/gateway/src/chivepier/gateway/limits/tests/test_limittable.py
+++ b/packages/gateway/src/chivepier/gateway/limits/tests/test_limittable.py
@@ -23,7 +23,7 @@
     return NoLimit() if rate is None else RateLimit(rate)
 
 
-def make_word(
+def make_record(
     version: int, rate: float | None, born: int = 1
 ) -> VersionedLimit:
     """Build a word about one target."""
@@ -38,85 +38,85 @@
 
 
 def test_late_answer_from_before_the_limit_does_not_end_it():
-    board = LimitTable("e1")
-    board.observe("i1", 1, None, RateLimit(1.5), 0.0)
-    assert not board.observe("i1", 1, None, NoLimit(), 0.1)
-    assert board.find_rate("i1", 1) == 1.5
+    table = LimitTable("e1")
+    table.observe("i1", 1, None, RateLimit(1.5), 0.0)
+    assert not table.observe("i1", 1, None, NoLimit(), 0.1)
+    assert table.find_rate("i1", 1) == 1.5
 
 
 def test_answers_that_do_not_know_of_each_other_leave_the_lower_rate():
-    board = LimitTable("e1")
-    board.observe("i1", 1, None, RateLimit(2.0), 0.0)
-    board.observe("i1", 1, None, RateLimit(1.0), 0.1)
-    board.observe("i1", 1, None, RateLimit(3.0), 0.2)
-    assert board.find_rate("i1", 1) == 1.0
+    table = LimitTable("e1")
+    table.observe("i1", 1, None, RateLimit(2.0), 0.0)
+    table.observe("i1", 1, None, RateLimit(1.0), 0.1)
+    table.observe("i1", 1, None, RateLimit(3.0), 0.2)
+    assert table.find_rate("i1", 1) == 1.0
 
 
 def test_limit_rises_and_ends_with_answers_to_later_requests():
-    board = LimitTable("e1")
-    board.observe("i1", 1, None, RateLimit(1.0), 0.0)
-    board.observe("i1", 1, board.find("i1", 1), RateLimit(2.0), 0.1)
-    assert board.find_rate("i1", 1) == 2.0
-    board.observe("i1", 1, board.find("i1", 1), NoLimit(), 0.2)
-    assert board.find_rate("i1", 1) is None
+    table = LimitTable("e1")
+    table.observe("i1", 1, None, RateLimit(1.0), 0.0)
+    table.observe("i1", 1, table.find("i1", 1), RateLimit(2.0), 0.1)
+    assert table.find_rate("i1", 1) == 2.0
+    table.observe("i1", 1, table.find("i1", 1), NoLimit(), 0.2)
+    assert table.find_rate("i1", 1) is None
 
 
 def test_limit_that_is_no_number_neither_sets_nor_ends_one():
-    board = LimitTable("e1")
-    assert not board.observe("i1", 1, None, InvalidLimit(), 0.0)
-    board.observe("i1", 1, None, RateLimit(1.5), 0.0)
-    assert not board.observe("i1", 1, board.find("i1", 1), InvalidLimit(), 0.1)
-    assert board.find_rate("i1", 1) == 1.5
+    table = LimitTable("e1")
+    assert not table.observe("i1", 1, None, InvalidLimit(), 0.0)
+    table.observe("i1", 1, None, RateLimit(1.5), 0.0)
+    assert not table.observe("i1", 1, table.find("i1", 1), InvalidLimit(), 0.1)
+    assert table.find_rate("i1", 1) == 1.5
 
 
 def test_next_life_of_a_target_is_not_bound_by_the_last_ones_limit():
-    board = LimitTable("e1")
-    board.put(make_word(9, 1.5, born=1))
-    assert board.find_rate("i1", 2) is None
-    board.put(make_word(1, 3.0, born=2))
-    assert not board.put(make_word(10, 0.0, born=1))
-    assert board.find_rate("i1", 2) == 3.0
+    table = LimitTable("e1")
+    table.put(make_record(9, 1.5, born=1))
+    assert table.find_rate("i1", 2) is None
+    table.put(make_record(1, 3.0, born=2))
+    assert not table.put(make_record(10, 0.0, born=1))
+    assert table.find_rate("i1", 2) == 3.0
 
 
 def test_rate_that_no_target_reaches_binds_nobody():
-    board = LimitTable("e1")
-    board.put(make_word(1, 1e9))
-    assert board.find_rate("i1", 1) is None
-    board.put(make_word(2, 0.0))
-    assert board.find_rate("i1", 1) == 0.0
+    table = LimitTable("e1")
+    table.put(make_record(1, 1e9))
+    assert table.find_rate("i1", 1) is None
+    table.put(make_record(2, 0.0))
+    assert table.find_rate("i1", 1) == 0.0
 
 
 def test_life_that_has_ended_takes_no_word_of_the_next_with_it():
     # The word about the next life came before its announcement, and the end
     # of the last one dropped it: the entry would send at full rate.
-    board = LimitTable("e1")
-    board.put(make_word(3, 0.5, born=1))
-    board.put(make_word(1, 1.5, born=2))
-    board.forget("i1", 1)
-    assert board.find_rate("i1", 2) == 1.5
-    board.forget("i1", 2)
-    assert list(board) == [] and board.find_newer(0) == []
+    table = LimitTable("e1")
+    table.put(make_record(3, 0.5, born=1))
+    table.put(make_record(1, 1.5, born=2))
+    table.forget("i1", 1)
+    assert table.find_rate("i1", 2) == 1.5
+    table.forget("i1", 2)
+    assert list(table) == [] and table.find_newer(0) == []
 
 
 def test_words_about_unknown_targets_do_not_pile_up():
-    board = LimitTable("e1")
+    table = LimitTable("e1")
     for number in range(MAX_UNKNOWN_TARGETS + 1):
-        board.observe(f"i{number}", 1, None, RateLimit(1.5), 0.0)
-    board.expire(["i0"])
-    assert len(list(board)) == MAX_UNKNOWN_TARGETS + 1
-    board.expire([])
-    assert list(board) == [] and board.find_newer(0) == []
+        table.observe(f"i{number}", 1, None, RateLimit(1.5), 0.0)
+    table.expire(["i0"])
+    assert len(list(table)) == MAX_UNKNOWN_TARGETS + 1
+    table.expire([])
+    assert list(table) == [] and table.find_newer(0) == []
 
 
 def test_words_are_the_same_after_their_way_to_another_node():
-    words = [make_word(1, 1.5), make_word(2, None), make_word(3, 0.0)]
-    told = unpack_limits(pack_limits(words, 5.0), 105.0)
-    assert [attrs.evolve(word, seen=0.0) for word in told] == words
-    assert {word.seen for word in told} == {100.0}
+    records = [make_record(1, 1.5), make_record(2, None), make_record(3, 0.0)]
+    told = unpack_limits(pack_limits(records, 5.0), 105.0)
+    assert [attrs.evolve(record, seen=0.0) for record in told] == records
+    assert {record.seen for record in told} == {100.0}
 
 
-WORDS = strategies.builds(
-    make_word,
+RECORDS = strategies.builds(
+    make_record,
     strategies.integers(1, 4),
     strategies.sampled_from(RATES),
     strategies.integers(1, 2),
@@ -124,15 +124,15 @@
 
 
 @settings(derandomize=True, max_examples=300)
-@given(strategies.lists(WORDS, max_size=8), strategies.randoms())
-def test_any_order_and_repetition_leads_to_one_belief(words, rng):
+@given(strategies.lists(RECORDS, max_size=8), strategies.randoms())
+def test_any_order_and_repetition_leads_to_one_belief(records, rng):
     first, second = LimitTable("e1"), LimitTable("e2")
-    for word in words:
-        first.put(word)
-    again = words + words[:3]
+    for record in records:
+        first.put(record)
+    again = records + records[:3]
     rng.shuffle(again)
-    for word in again:
-        second.put(word)
+    for record in again:
+        second.put(record)
     assert list(first) == list(second)
 
 
@@ -141,12 +141,12 @@
 
     def __init__(self):
         self.rate = None
-        self.boards = [LimitTable(f"e{n}") for n in range(ENTRIES)]
+        self.tables = [LimitTable(f"e{n}") for n in range(ENTRIES)]
         self.answers = []
 
     def send(self, entry: int) -> None:
         """Let an entry send a request, which is answered at once."""
-        known = self.boards[entry].find("i1", 1)
+        known = self.tables[entry].find("i1", 1)
         self.answers.append((entry, known, make_limit(self.rate)))
 
     def arrive(self, place: int) -> None:
@@ -154,12 +154,12 @@
         if self.answers:
             place %= len(self.answers)
             entry, known, limit = self.answers.pop(place)
-            self.boards[entry].observe("i1", 1, known, limit, 0.0)
+            self.tables[entry].observe("i1", 1, known, limit, 0.0)
 
     def tell(self, source: int, to: int) -> None:
         """Let one entry's words reach another."""
-        for word in self.boards[source].find_newer(0):
-            self.boards[to].put(word)
+        for record in self.tables[source].find_newer(0):
+            self.tables[to].put(record)
 
     def tell_all(self) -> None:
         """Let every word reach everybody."""
@@ -199,5 +199,5 @@
     model.send(0)
     model.arrive(0)
     model.tell_all()
-    beliefs = {board.find_rate("i1", 1) for board in model.boards}
+    beliefs = {table.find_rate("i1", 1) for table in model.tables}
     assert beliefs == {model.rate}
--- a/packages/gateway/src/chivepier/gateway/quarantine/crashdetector.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/crashdetector.py
@@ -73,27 +73,27 @@
         table.watchers.append(self._handle_announcement)
         table.restart_watchers.append(self._handle_restart)
 
-    def investigate(self, loss: LostRequest) -> None:
+    def investigate(self, request: LostRequest) -> None:
         """Begin to find out why a request was lost.
 
         :param loss: as it was seen
         """
-        incarnation = Incarnation.of(loss.target)
-        if not self._may_be_cause(loss):
+        incarnation = Incarnation.of(request.target)
+        if not self._may_be_cause(request):
             return
         known = self._table.get(incarnation.instance)
         if known is not None and known.born > incarnation.born:
-            self.note_ended(incarnation, loss.at, "restarted")
+            self.note_ended(incarnation, request.at, "restarted")
         if incarnation in self._ended:
-            self._report_if_related(loss, *self._ended[incarnation])
+            self._report_if_related(request, *self._ended[incarnation])
             return
         check = self._checks.get(incarnation)
         if check is None:
-            check = CrashCheck(loss.target, loss.at + CHECK_SECONDS)
+            check = CrashCheck(request.target, request.at + CHECK_SECONDS)
             self._checks[incarnation] = check
             check.watch = self._start(self._watch(incarnation, check))
-        check.lost.append(loss)
-        if loss.broke and (check.probe is None or check.probe.done()):
+        check.lost.append(request)
+        if request.broke and (check.probe is None or check.probe.done()):
             check.probe = self._start(self._run_probe(incarnation, check))
 
     def note_ended(
@@ -112,8 +112,8 @@
         check = self._checks.pop(incarnation, None)
         if check is None:
             return
-        for loss in check.lost:
-            self._report_if_related(loss, at, how)
+        for request in check.lost:
+            self._report_if_related(request, at, how)
 
     async def wait_for_probe(self, target: Target) -> None:
         """Wait for a moment until it is known whether a target has ended.
@@ -133,33 +133,36 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def _may_be_cause(self, loss: LostRequest) -> bool:
+    def _may_be_cause(self, request: LostRequest) -> bool:
         if (
-            loss.begun is not None
-            and loss.at - loss.begun > SUSPECT_WINDOW_SECONDS
+            request.begun is not None
+            and request.at - request.begun > SUSPECT_WINDOW_SECONDS
         ):
             return False
-        left = self._leaving_since.get(Incarnation.of(loss.target))
-        return left is None or loss.at - left < LEAVING_GRACE_SECONDS
+        leaving_since = self._leaving_since.get(Incarnation.of(request.target))
+        return (
+            leaving_since is None
+            or request.at - leaving_since < LEAVING_GRACE_SECONDS
+        )
 
     def _report_if_related(
-        self, loss: LostRequest, at: float, how: str
+        self, request: LostRequest, at: float, how: str
     ) -> None:
-        seen_at_once = abs(loss.at - at) <= SAME_CRASH_SECONDS
+        simultaneous = abs(request.at - at) <= SAME_CRASH_SECONDS
         match how:
             case "restarted" | "replaced":
                 # when it ended isn't known; the inquiry bounds it
                 counts = True
             case "silent":
-                known = self._table.get(loss.target.instance)
+                known = self._table.get(request.target.instance)
                 counts = (
                     known is None
-                    or loss.sent - known.heard < MAX_SILENCE_SECONDS
+                    or request.sent - known.heard < MAX_SILENCE_SECONDS
                 )
             case _:
-                counts = seen_at_once
+                counts = simultaneous
         if counts:
-            self._report(loss, how)
+            self._report(request, how)
 
     def _start(self, work: collections.abc.Coroutine) -> asyncio.Task:
         task = asyncio.create_task(work)
--- a/packages/gateway/src/chivepier/gateway/quarantine/ledger.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/ledger.py
@@ -75,8 +75,8 @@
         if digest not in self.suspects:
             return None
         endings = self.find_endings(digest)
-        doubled = HOLD_SECONDS * 2 ** (len(endings) - MIN_ENDINGS)
-        until = endings[-1].seen + min(doubled, ENDING_TTL_SECONDS)
+        seconds = HOLD_SECONDS * 2 ** (len(endings) - MIN_ENDINGS)
+        until = endings[-1].seen + min(seconds, ENDING_TTL_SECONDS)
         return Hold(digest, tuple(endings), until) if now < until else None
 
     def find_held(self, now: float) -> set[str]:
@@ -107,18 +107,18 @@
 
         :param now: monotonic seconds
         """
-        old = [
+        expired = [
             (digest, incarnation)
             for digest, ends in self._endings.items()
             for incarnation, ending in ends.items()
             if now - ending.seen >= ENDING_TTL_SECONDS
         ]
-        for digest, incarnation in old:
+        for digest, incarnation in expired:
             self._drop_ending(digest, incarnation)
         for clearance in list(self._clearances.values()):
             if now - clearance.seen >= CLEARANCE_TTL_SECONDS:
                 self._drop_clearance(clearance.digest)
-        if old:
+        if expired:
             self._update_suspects()
 
     def _find(self, digest: str, incarnation: Incarnation | None) -> Record:
@@ -167,11 +167,11 @@
         """
         if len(self._revisions) - len(self._clearances) < MAX_RECORDS:
             return
-        for most in range(1, MAX_ENDINGS_PER_REQUEST + 1):
+        for max_endings in range(1, MAX_ENDINGS_PER_REQUEST + 1):
             for digest, incarnation in self._revisions:
                 if (
                     incarnation is not None
-                    and len(self._endings[digest]) <= most
+                    and len(self._endings[digest]) <= max_endings
                 ):
                     self._drop_ending(digest, incarnation)
                     if digest in self.suspects:
--- a/packages/gateway/src/chivepier/gateway/quarantine/overrides.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/overrides.py
@@ -8,10 +8,12 @@
 DIGEST_PREFIX = re.compile("[0-9a-f]{8,32}")
 
 
-def _check(orders: "Overrides", field: attrs.Attribute, heads: tuple) -> None:
-    for head in heads:
-        if not DIGEST_PREFIX.fullmatch(head):
-            text = f"{field.name} is not the head of a digest: {head!r}"
+def _check(
+    orders: "Overrides", field: attrs.Attribute, prefixes: tuple
+) -> None:
+    for prefix in prefixes:
+        if not DIGEST_PREFIX.fullmatch(prefix):
+            text = f"{field.name} is not the head of a digest: {prefix!r}"
             raise ValueError(text)
 
 
--- a/packages/gateway/src/chivepier/gateway/quarantine/quarantine.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/quarantine.py
@@ -90,9 +90,9 @@
             return Hold(digest, (), now + HOLD_SECONDS)
         return self.ledger.find_hold(digest, now)
 
-    def note_loss(self, loss: LostRequest) -> None:
+    def note_loss(self, request: LostRequest) -> None:
         """Take that a target was lost under a request."""
-        self.detector.investigate(loss)
+        self.detector.investigate(request)
 
     async def wait_for_check(self, digest: str, target: Target) -> None:
         """Wait for a moment until it is known why a request was lost.
@@ -166,33 +166,33 @@
         self.ledger.expire(now)
         self._update_held("time")
 
-    def _report_ending(self, loss: LostRequest, how: str) -> None:
+    def _report_ending(self, request: LostRequest, how: str) -> None:
         """Take that a target has ended under a request of this entry."""
-        sound = self._recent_answers.find(loss.digest, loss.at)
-        if sound is not None:
+        answered_at = self._recent_answers.find(request.digest, request.at)
+        if answered_at is not None:
             # its copies are at many targets, and were answered by others
             self._log.info(
                 "ending_passed_over",
-                id=loss.id,
-                digest=shorten(loss.digest),
-                target=loss.target.instance,
-                answered_s=round(loss.at - sound, 1),
+                id=request.id,
+                digest=shorten(request.digest),
+                target=request.target.instance,
+                answered_s=round(request.at - answered_at, 1),
             )
             return
-        incarnation = Incarnation.of(loss.target)
-        ending = Ending(loss.digest, incarnation, loss.at, self._me, how)
+        incarnation = Incarnation.of(request.target)
+        ending = Ending(request.digest, incarnation, request.at, self._me, how)
         if not self._add(ending):
             return
         self._metrics.note_quarantine("suspected")
         self._log.warn(
             "target_ended_under",
-            id=loss.id,
-            digest=shorten(loss.digest),
-            team=loss.team,
+            id=request.id,
+            digest=shorten(request.digest),
+            team=request.team,
             target=incarnation.instance,
             born=incarnation.born,
             how=how,
-            ends=len(self.ledger.find_endings(loss.digest)),
+            ends=len(self.ledger.find_endings(request.digest)),
         )
         self.publish(ending)
 
@@ -204,10 +204,10 @@
             self.publish(clearance)
 
     def _add(self, record: Record) -> bool:
-        news = self.ledger.add(record)
-        if news:
+        added = self.ledger.add(record)
+        if added:
             self._update_held(type(record).__name__.lower())
-        return news
+        return added
 
     def _update_held(self, reason: str) -> None:
         before = self._held
--- a/packages/gateway/src/chivepier/gateway/quarantine/suspects.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/suspects.py
@@ -30,13 +30,19 @@
     :param ends: lives of targets that ended, by the request's digest
     :returns: digests
     """
-    suspects = [d for d, lives in ends.items() if len(lives) >= MIN_ENDINGS]
+    suspects = [
+        d
+        for d, incarnations in ends.items()
+        if len(incarnations) >= MIN_ENDINGS
+    ]
     suspects.sort(key=lambda digest: len(ends[digest]), reverse=True)
     held: set[str] = set()
     explained: set[Incarnation] = set()
-    for _, equals in itertools.groupby(suspects, lambda d: len(ends[d])):
+    for _, tied in itertools.groupby(suspects, lambda d: len(ends[d])):
         # of those that met equally many, none explains the other
-        fresh = [digest for digest in equals if not ends[digest] <= explained]
-        held.update(fresh)
-        explained.update(*(ends[digest] for digest in fresh))
+        unexplained = [
+            digest for digest in tied if not ends[digest] <= explained
+        ]
+        held.update(unexplained)
+        explained.update(*(ends[digest] for digest in unexplained))
     return held
--- a/packages/gateway/src/chivepier/gateway/quarantine/tests/test_crashdetector.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/tests/test_crashdetector.py
@@ -17,16 +17,16 @@
 from chivepier.gateway.targets import TargetTable
 from chivepier.types import ManualClock
 
-BEAT = 1.0
+HEARTBEAT_SECONDS = 1.0
 
 
-class Scene:
+class Fixture:
     """A judge over a table of two targets."""
 
     def __init__(self) -> None:
         self.clock = ManualClock()
         self.clock.advance(100.0)
-        self.table = TargetTable(BEAT)
+        self.table = TargetTable(HEARTBEAT_SECONDS)
         self.liveness = Liveness.LIVES
         self.reports: list[tuple[str, str]] = []
         self.detector = CrashDetector(
@@ -81,124 +81,124 @@
         self.detector.investigate(loss)
         return loss
 
-    async def pass_time(self, seconds: float) -> None:
+    async def advance(self, seconds: float) -> None:
         """Let time pass in small steps, with what happens meanwhile."""
         for _ in range(round(seconds / 0.25)):
-            await self.rest()
+            await self.yield_to_tasks()
             self.clock.advance(0.25)
-        await self.rest()
+        await self.yield_to_tasks()
 
-    async def rest(self) -> None:
+    async def yield_to_tasks(self) -> None:
         """Let all that can go on do so."""
         for _ in range(5):
             await asyncio.sleep(0)
 
 
-def play(test) -> None:
+def run_with_fixture(test) -> None:
     """Run a test's coroutine over a scene."""
 
     async def work():
-        scene = Scene()
-        await test(scene)
-        await scene.detector.close()
+        fixture = Fixture()
+        await test(fixture)
+        await fixture.detector.close()
 
     asyncio.run(work())
 
 
 def test_target_where_nothing_listens_has_ended():
-    async def test(scene):
-        scene.liveness = Liveness.ENDED
-        loss = scene.lose()
-        await scene.detector.wait_for_probe(loss.target)
-        assert scene.reports == [("d", "refused")]
+    async def test(fixture):
+        fixture.liveness = Liveness.ENDED
+        loss = fixture.lose()
+        await fixture.detector.wait_for_probe(loss.target)
+        assert fixture.reports == [("d", "refused")]
 
-    play(test)
+    run_with_fixture(test)
 
 
 def test_connection_that_was_reset_on_the_way_accuses_nobody():
     # All connections of an instance were reset. Each request that was lost
     # with one came again, elsewhere; the targets live.
-    async def test(scene):
-        scene.lose()
-        await scene.pass_time(ALIVE_CHECK_SECONDS + 1.0)
-        scene.announce("a", 1, born=2)
-        assert scene.reports == []
+    async def test(fixture):
+        fixture.lose()
+        await fixture.advance(ALIVE_CHECK_SECONDS + 1.0)
+        fixture.announce("a", 1, born=2)
+        assert fixture.reports == []
 
-    play(test)
+    run_with_fixture(test)
 
 
 def test_next_life_shows_that_a_cut_off_target_had_ended():
     # Nothing came back: not from the target, nor from a look at it. It had
     # ended behind a cut, and announces its next life when that heals.
-    async def test(scene):
-        scene.liveness = Liveness.UNKNOWN
-        scene.lose(broke=False)
-        await scene.pass_time(4.0)
-        scene.announce("a", 1, born=2)
-        assert scene.reports == [("d", "restarted")]
+    async def test(fixture):
+        fixture.liveness = Liveness.UNKNOWN
+        fixture.lose(broke=False)
+        await fixture.advance(4.0)
+        fixture.announce("a", 1, born=2)
+        assert fixture.reports == [("d", "restarted")]
 
-    play(test)
+    run_with_fixture(test)
 
 
 def test_another_target_at_its_address_shows_that_it_has_ended():
-    async def test(scene):
-        scene.liveness = Liveness.UNKNOWN
-        scene.lose()
-        await scene.pass_time(2.0)
-        scene.announce("c", 1, address="a:80")
-        assert scene.reports == [("d", "replaced")]
+    async def test(fixture):
+        fixture.liveness = Liveness.UNKNOWN
+        fixture.lose()
+        await fixture.advance(2.0)
+        fixture.announce("c", 1, address="a:80")
+        assert fixture.reports == [("d", "replaced")]
 
-    play(test)
+    run_with_fixture(test)
 
 
 def test_target_that_alone_falls_silent_has_ended():
-    async def test(scene):
-        scene.liveness = Liveness.UNKNOWN
-        scene.lose()
+    async def test(fixture):
+        fixture.liveness = Liveness.UNKNOWN
+        fixture.lose()
         for number in range(2, 8):
-            await scene.pass_time(1.0)
-            scene.announce("b", number)
-        assert scene.reports == [("d", "silent")]
+            await fixture.advance(1.0)
+            fixture.announce("b", number)
+        assert fixture.reports == [("d", "silent")]
 
-    play(test)
+    run_with_fixture(test)
 
 
 def test_entry_that_hears_nobody_accuses_nobody():
     # An entry was cut off from all voters. Every target fell silent for it at
     # once, and every request that was lost then would be held against it.
-    async def test(scene):
-        scene.liveness = Liveness.UNKNOWN
-        scene.lose()
-        await scene.pass_time(CHECK_SECONDS + 2.0)
-        assert scene.reports == []
+    async def test(fixture):
+        fixture.liveness = Liveness.UNKNOWN
+        fixture.lose()
+        await fixture.advance(CHECK_SECONDS + 2.0)
+        assert fixture.reports == []
 
-    play(test)
+    run_with_fixture(test)
 
 
 def test_what_was_sent_to_a_target_that_was_dark_already_is_not_the_cause():
-    async def test(scene):
-        scene.liveness = Liveness.UNKNOWN
-        await scene.pass_time(2.5)
-        scene.announce("b", 2)
-        scene.lose(broke=False)
+    async def test(fixture):
+        fixture.liveness = Liveness.UNKNOWN
+        await fixture.advance(2.5)
+        fixture.announce("b", 2)
+        fixture.lose(broke=False)
         for number in range(3, 8):
-            await scene.pass_time(1.0)
-            scene.announce("b", number)
-        assert scene.reports == []
+            await fixture.advance(1.0)
+            fixture.announce("b", number)
+        assert fixture.reports == []
 
-    play(test)
+    run_with_fixture(test)
 
 
 def test_stream_that_has_run_for_long_is_not_the_cause():
-    async def test(scene):
-        scene.liveness = Liveness.ENDED
-        now = scene.clock.monotonic()
-        scene.lose(begun=now - SUSPECT_WINDOW_SECONDS - 0.1)
-        scene.lose("early", begun=now - 0.1)
-        await scene.rest()
-        assert scene.reports == [("early", "refused")]
+    async def test(fixture):
+        fixture.liveness = Liveness.ENDED
+        now = fixture.clock.monotonic()
+        fixture.lose(begun=now - SUSPECT_WINDOW_SECONDS - 0.1)
+        fixture.lose("early", begun=now - 0.1)
+        await fixture.yield_to_tasks()
+        assert fixture.reports == [("early", "refused")]
 
-    play(test)
+    run_with_fixture(test)
 
 
 @pytest.mark.parametrize(
@@ -208,37 +208,37 @@
 def test_end_that_was_announced_accuses_nobody(seconds, reports):
     # A target is taken away two seconds after its notice, and what runs there
     # is lost. One that ends at once after it had another reason.
-    async def test(scene):
-        scene.announce("a", 2, TargetState.LEAVING)
-        await scene.pass_time(seconds)
-        scene.liveness = Liveness.ENDED
-        scene.lose()
-        await scene.rest()
-        assert scene.reports == reports
+    async def test(fixture):
+        fixture.announce("a", 2, TargetState.LEAVING)
+        await fixture.advance(seconds)
+        fixture.liveness = Liveness.ENDED
+        fixture.lose()
+        await fixture.yield_to_tasks()
+        assert fixture.reports == reports
 
-    play(test)
+    run_with_fixture(test)
 
 
 def test_end_that_another_entry_saw_counts_for_what_was_lost_with_it():
-    async def test(scene):
-        scene.liveness = Liveness.UNKNOWN
-        scene.lose("before", broke=False)
-        await scene.pass_time(3.0)
-        scene.lose("with")
-        scene.detector.note_ended(
-            Incarnation("a", 1), scene.clock.monotonic(), "told"
+    async def test(fixture):
+        fixture.liveness = Liveness.UNKNOWN
+        fixture.lose("before", broke=False)
+        await fixture.advance(3.0)
+        fixture.lose("with")
+        fixture.detector.note_ended(
+            Incarnation("a", 1), fixture.clock.monotonic(), "told"
         )
-        scene.lose("after")
-        assert scene.reports == [("with", "told"), ("after", "told")]
+        fixture.lose("after")
+        assert fixture.reports == [("with", "told"), ("after", "told")]
 
-    play(test)
+    run_with_fixture(test)
 
 
 def test_inquiries_end():
-    async def test(scene):
+    async def test(fixture):
         for number in range(20):
-            scene.lose(f"d{number}")
-        await scene.pass_time(CHECK_SECONDS + 1.0)
-        assert not scene.detector._checks and not scene.detector._tasks
+            fixture.lose(f"d{number}")
+        await fixture.advance(CHECK_SECONDS + 1.0)
+        assert not fixture.detector._checks and not fixture.detector._tasks
 
-    play(test)
+    run_with_fixture(test)
