--- a/packages/gateway/src/chivepier/gateway/limits/__init__.py
+++ b/packages/gateway/src/chivepier/gateway/limits/__init__.py
@@ -1,4 +1,4 @@
-"""What targets say of themselves in their answers."""
+"""Rate limits and backoffs that targets request in their answers."""
 
 from chivepier.gateway.limits.backofftable import BackoffTable
 from chivepier.gateway.limits.backofftable import MAX_BACKOFF_SECONDS
--- a/packages/gateway/src/chivepier/gateway/limits/activebackoff.py
+++ b/packages/gateway/src/chivepier/gateway/limits/activebackoff.py
@@ -1,16 +1,17 @@
-"""A rest that a target was promised."""
+"""A backoff in force."""
 
 import attrs
 
 
 @attrs.define
 class ActiveBackoff:
-    """Until when a target gets nothing, and what follows.
+    """End of a backoff and the state of the probe request after it.
 
-    :param until: in monotonic seconds
-    :param asked: when the target last asked for it, in monotonic seconds
-    :param tried_until: after its end, until when the answer to the first
-        request is awaited before another one goes; in monotonic seconds
+    :param until: end of the backoff, in monotonic seconds
+    :param requested_at: when the target last requested it, in monotonic
+        seconds
+    :param probe_until: until when other requests wait for the answer to the
+        first request after the backoff, in monotonic seconds
     """
 
     until: float
--- a/packages/gateway/src/chivepier/gateway/limits/backofftable.py
+++ b/packages/gateway/src/chivepier/gateway/limits/backofftable.py
@@ -1,36 +1,36 @@
-"""The rests that targets asked this entry for."""
+"""The backoffs that targets requested from this entry."""
 
 import random
 
 from chivepier.gateway.limits.activebackoff import ActiveBackoff
 
-# Seconds of rest that are believed at most. A target that asks for more counts
-# in another unit, or will have started again by then, which ends its rest.
+# Upper bound of a backoff. A target that requests more uses another unit, or
+# will have restarted by then, which ends the backoff.
 MAX_BACKOFF_SECONDS = 3600.0
-# Share of a rest, and seconds at most, by which it may be longer: entries that
-# were asked at one moment would else come back at one moment.
+# Jitter as a fraction of the backoff, and its upper bound. Without it, entries
+# that were told to back off together would return together.
 JITTER_RATIO = 0.1
 MAX_JITTER_SECONDS = 0.5
-# Seconds in which the first request after a rest is to be answered; only then
-# do others follow, or all that waited here would come at once.
+# Time for the answer to the first request after a backoff. Others wait for it,
+# or all waiting requests would be sent at once.
 PROBE_SECONDS = 0.25
-# Seconds after which it is worth to look again whether it has been answered.
+# Delay before checking again whether that request has been answered.
 PROBE_POLL_SECONDS = 0.02
-# Stands for the life after one that has ended, whose start is not known here.
+# Key of the incarnation after one that has ended; its start is not known yet.
 NEXT_INCARNATION = -1
-# Seconds for which a rest holds that either life of a target may have asked
-# for; its announcements say within this time which one it is.
+# Upper bound of a backoff that either the ended or the next incarnation may
+# have requested; announcements tell within this time which one is running.
 MAX_INHERITED_SECONDS = 30.0
-# Rests that are kept before those that are long over are dropped.
+# Number of backoffs from which expired ones are dropped.
 MAX_BACKOFFS = 1_000
 
 
 class BackoffTable:
-    """Knows when each target may be sent something again.
+    """Tracks when each target may be sent requests again.
 
-    A rest is asked of one entry, and the others are not told: a target that
-    is a little over its room turns a few of them away, and would stand idle
-    if all kept away. It binds one life of the target.
+    A backoff applies to the entry that was told, and is not shared: a target
+    slightly over capacity rejects a few entries and would be idle if all of
+    them backed off. It applies to one incarnation of the target.
 
     >>> board = BackoffTable(random.Random(1))
     >>> board.add("i1", 7, 3.0, 10.0)
@@ -42,7 +42,7 @@
     >>> board.find_delay("i1", 8, 11.0) is None
     True
 
-    :param rng: spreads the ends
+    :param rng: source of the jitter
     """
 
     def __init__(self, rng: random.Random):
@@ -55,16 +55,15 @@
     def add(
         self, instance: str, born: int, seconds: float, now: float
     ) -> bool:
-        """Take that a target wants nothing for a while.
+        """Record a backoff that a target requested.
 
-        Each answer asks for itself: a shorter one that comes later ends no
-        longer one.
+        A shorter backoff that is requested later does not cut a longer one.
 
         :param instance: the target's name
-        :param born: start of the life that asked
-        :param seconds: from its answer on
-        :param now: when that came, in monotonic seconds
-        :returns: whether it was at rest until now
+        :param born: start of the incarnation that requested it
+        :param seconds: duration in seconds, from the answer on
+        :param now: time of the answer, in monotonic seconds
+        :returns: whether no backoff was in force before
         """
         self._drop_expired(now)
         seconds = min(seconds, MAX_BACKOFF_SECONDS)
@@ -87,12 +86,12 @@
         return max(found, key=lambda backoff: backoff.until, default=None)
 
     def find_delay(self, instance: str, born: int, now: float) -> float | None:
-        """Return the seconds after which a target may be sent something.
+        """Return the seconds until a target may be sent a request.
 
         :param instance: the target's name
-        :param born: start of its life
-        :param now: monotonic seconds
-        :returns: ``None`` where it may be now
+        :param born: start of its incarnation
+        :param now: current time in monotonic seconds
+        :returns: ``None`` if it may be sent one now
         """
         backoff = self._find(instance, born)
         if backoff is None:
@@ -102,34 +101,38 @@
         return PROBE_POLL_SECONDS if now < backoff.probe_until else None
 
     def note_sent(self, instance: str, born: int, now: float) -> None:
-        """Note that something is being sent to a target.
+        """Record that a request is being sent to a target.
 
-        The first after a rest holds the others back until it is answered.
+        The first one after a backoff delays the others until it is answered.
         """
         backoff = self._find(instance, born)
         if backoff is not None:
             backoff.probe_until = now + PROBE_SECONDS
 
     def note_answered(self, instance: str, born: int, now: float) -> None:
-        """Note an answer that asks for no rest; one within a rest is late."""
+        """End an expired backoff on an answer that requests none.
+
+        An answer during a backoff is a late one and is ignored.
+        """
         backoff = self._find(instance, born)
         if backoff is not None and now >= backoff.until:
             for start in (born, NEXT_INCARNATION):
                 self._backoffs.pop((instance, start), None)
 
     def count(self, now: float) -> int:
-        """Return how many targets are at rest."""
+        """Return the number of backoffs in force."""
         return sum(now < backoff.until for backoff in self._backoffs.values())
 
     def end_incarnation(self, instance: str, born: int, heard: float) -> None:
-        """Drop what a life had asked for that the next one has ended.
+        """Drop the backoff of an incarnation that the next one replaced.
 
-        Until a target is announced anew, what the next life asks for counts
-        as this one's: what came after this one last spoke goes on for it.
+        Until the next incarnation is announced, its backoffs are recorded
+        under the old one, so a backoff requested after the old one was last
+        heard is carried over.
 
         :param instance: the target's name
-        :param born: start of the life that has ended
-        :param heard: when it last spoke, in monotonic seconds
+        :param born: start of the incarnation that has ended
+        :param heard: when it was last heard, in monotonic seconds
         """
         backoff = self._backoffs.get((instance, born))
         self.forget(instance, born)
@@ -140,10 +143,10 @@
             self._backoffs[(instance, NEXT_INCARNATION)] = backoff
 
     def forget(self, instance: str, born: int) -> None:
-        """Drop what a life that has ended had asked for.
+        """Drop the backoffs of an incarnation that has ended.
 
         :param instance: the target's name
-        :param born: start of that life; rests of a later one stay
+        :param born: start of that incarnation; backoffs of later ones stay
         """
         for name, start in list(self._backoffs):
             if name == instance and start <= born:
--- a/packages/gateway/src/chivepier/gateway/limits/invalidbackoff.py
+++ b/packages/gateway/src/chivepier/gateway/limits/invalidbackoff.py
@@ -1,8 +1,8 @@
-"""Rest for a time that can't be read."""
+"""An answer whose backoff cannot be parsed."""
 
 import attrs
 
 
 @attrs.frozen
 class InvalidBackoff:
-    """The answer asks for rest, and not in seconds that can be read."""
+    """The answer requests a backoff of a duration that cannot be parsed."""
--- a/packages/gateway/src/chivepier/gateway/limits/invalidlimit.py
+++ b/packages/gateway/src/chivepier/gateway/limits/invalidlimit.py
@@ -1,8 +1,8 @@
-"""An answer whose limit is no number."""
+"""An answer whose rate limit is not a number."""
 
 import attrs
 
 
 @attrs.frozen
 class InvalidLimit:
-    """The target names a limit that is no number."""
+    """The answer states a rate limit that is not a valid number."""
--- a/packages/gateway/src/chivepier/gateway/limits/limit.py
+++ b/packages/gateway/src/chivepier/gateway/limits/limit.py
@@ -1,4 +1,4 @@
-"""What one answer says of the rate that its target takes."""
+"""The rate limit that an answer states, if any."""
 
 from chivepier.gateway.limits.invalidlimit import InvalidLimit
 from chivepier.gateway.limits.nolimit import NoLimit
--- a/packages/gateway/src/chivepier/gateway/limits/limittable.py
+++ b/packages/gateway/src/chivepier/gateway/limits/limittable.py
@@ -1,4 +1,4 @@
-"""The limits that this node knows of."""
+"""The rate limits that this node knows."""
 
 import collections.abc
 import itertools
@@ -9,9 +9,9 @@
 from chivepier.gateway.limits.ratelimit import RateLimit
 from chivepier.gateway.limits.versionedlimit import VersionedLimit
 
-# Requests a second above which a limit binds nobody: no target serves more.
+# Requests per second from which a limit is ignored: no target serves more.
 UNLIMITED_RATE = 1000.0
-# Words about targets that are not known from which on they are dropped.
+# Maximum number of limits of unknown targets before these are dropped.
 MAX_UNKNOWN_TARGETS = 1_000
 
 Watcher = collections.abc.Callable[
@@ -20,12 +20,12 @@
 
 
 class LimitTable:
-    """Merges words about limits, in whatever order and however often told.
+    """Merges versioned limits; order and repetition do not matter.
 
-    Answers overtake each other, and clocks of entries differ. An answer to a
-    request that was sent when a word was known is later than that word; so an
-    answer without a limit ends only a limit that its entry knew when it sent
-    the request.
+    Answers overtake each other and clocks differ, so limits are ordered by
+    causality: an answer is newer than the limit that was known when its
+    request was sent. An answer without a limit therefore clears only a limit
+    that its entry knew at that time.
 
     >>> board = LimitTable("e1")
     >>> board.observe("i1", 7, None, RateLimit(1.5), 0.0)
@@ -37,9 +37,10 @@
     >>> board.observe("i1", 7, board.find("i1", 7), NoLimit(), 0.2)
     True
 
-    :ivar revision: counts what was news; see :meth:`find_newer`
+    :ivar revision: number of changes so far; see :meth:`find_newer`
+    :ivar watchers: called with each new limit and the one that it replaces
 
-    :param me: this entry's name; empty at a voter
+    :param me: name of this entry; empty at a voter
     """
 
     def __init__(self, me: str = ""):
@@ -58,14 +59,14 @@
         limit: Limit,
         now: float,
     ) -> bool:
-        """Take what an answer of a target says.
+        """Record the rate limit that an answer states.
 
         :param instance: the target's name
-        :param born: start of the life that answered
-        :param known: what was believed of it when the request was sent
-        :param limit: what the answer says
-        :param now: monotonic seconds
-        :returns: whether it was news
+        :param born: start of the incarnation that answered, in Unix ms
+        :param known: limit that was known when the request was sent
+        :param limit: limit that the answer states
+        :param now: current time in monotonic seconds
+        :returns: whether the table changed
         """
         match limit:
             case NoLimit():
@@ -73,8 +74,8 @@
             case RateLimit(rate=rate):
                 pass
             case InvalidLimit():
-                # in need, but for which rate is not told: neither a limit
-                # nor the end of one
+                # the target is overloaded, but the rate is unknown: this
+                # neither sets nor clears a limit
                 return False
         if rate == (known.rate if known else None):
             return False
@@ -89,9 +90,10 @@
         return self.put(record)
 
     def put(self, record: VersionedLimit) -> bool:
-        """Take a word, also of another node.
+        """Merge a limit from this or another node.
 
-        :returns: whether it was news
+        :param record: the limit
+        :returns: whether the table changed
         """
         before = self._limits.get(record.instance)
         if before is not None and not record.supersedes(before):
@@ -104,14 +106,14 @@
         return True
 
     def find(self, instance: str, born: int) -> VersionedLimit | None:
-        """Return what is believed of one life of a target."""
+        """Return the known limit of one incarnation of a target."""
         record = self._limits.get(instance)
         return record if record is not None and record.born == born else None
 
     def find_rate(self, instance: str, born: int) -> float | None:
-        """Return the requests a second that a target takes.
+        """Return the rate limit of a target, in requests per second.
 
-        :returns: ``None`` where nothing bounds them
+        :returns: ``None`` if the rate is not limited
         """
         record = self.find(instance, born)
         if (
@@ -125,10 +127,10 @@
     def find_newer(
         self, revision: int, own_only: bool = False
     ) -> list[VersionedLimit]:
-        """Return the words that were news after a revision.
+        """Return the limits that changed after a revision.
 
-        :param revision: of this board
-        :param own_only: whether only what was answered here is wanted
+        :param revision: a revision of this table
+        :param own_only: whether to return only limits observed by this entry
         """
         return [
             self._limits[instance]
@@ -138,21 +140,22 @@
         ]
 
     def forget(self, instance: str, born: int) -> None:
-        """Drop what is believed of a life that has ended.
+        """Drop the limit of an incarnation that has ended.
 
         :param instance: the target's name
-        :param born: start of that life; words about a later one stay
+        :param born: start of that incarnation; limits of later ones stay
         """
         record = self._limits.get(instance)
         if record is not None and record.born <= born:
             self._drop(instance)
 
     def expire(self, instances: collections.abc.Iterable[str]) -> None:
-        """Drop what is believed of targets that nobody knows any more.
+        """Drop limits of unknown targets when there are too many.
 
-        A word may come before its target's first announcement: some are kept.
+        Some are kept, as a limit may arrive before the first announcement of
+        its target.
 
-        :param instances: names of the targets that are known
+        :param instances: names of the known targets
         """
         if len(self._limits) <= MAX_UNKNOWN_TARGETS:
             return
--- a/packages/gateway/src/chivepier/gateway/limits/nobackoff.py
+++ b/packages/gateway/src/chivepier/gateway/limits/nobackoff.py
@@ -1,8 +1,8 @@
-"""No rest is asked for."""
+"""An answer that requests no backoff."""
 
 import attrs
 
 
 @attrs.frozen
 class NoBackoff:
-    """The answer does not say that its target wants nothing for a while."""
+    """The answer requests no backoff."""
--- a/packages/gateway/src/chivepier/gateway/limits/nolimit.py
+++ b/packages/gateway/src/chivepier/gateway/limits/nolimit.py
@@ -1,8 +1,8 @@
-"""An answer that names no limit."""
+"""An answer without a rate limit."""
 
 import attrs
 
 
 @attrs.frozen
 class NoLimit:
-    """The target takes what comes."""
+    """The target does not limit the request rate."""
--- a/packages/gateway/src/chivepier/gateway/limits/ratelimit.py
+++ b/packages/gateway/src/chivepier/gateway/limits/ratelimit.py
@@ -1,13 +1,13 @@
-"""An answer that names a limit."""
+"""An answer with a rate limit."""
 
 import attrs
 
 
 @attrs.frozen
 class RateLimit:
-    """The target takes so many requests a second from all entries together.
+    """The request rate that a target accepts from all entries together.
 
-    :param rate: requests a second, zero or more
+    :param rate: requests per second, zero or more
     """
 
     rate: float
--- a/packages/gateway/src/chivepier/gateway/limits/records.py
+++ b/packages/gateway/src/chivepier/gateway/limits/records.py
@@ -1,21 +1,21 @@
-"""Words about limits as messages."""
+"""Conversion of rate limits to and from messages."""
 
 import collections.abc
 
 from chivepier.gateway.limits.versionedlimit import VersionedLimit
 from chivepier.gateway.messages import LimitRecord
 
-# Stands for no limit on the wire; rates are zero or more.
+# Encodes "no limit" on the wire; rates are zero or more.
 NO_LIMIT = -1.0
 
 
 def pack_limits(
     limits: collections.abc.Iterable[VersionedLimit], now: float
 ) -> tuple[LimitRecord, ...]:
-    """Turn words into messages.
+    """Convert limits to messages, with ages in place of times.
 
-    :param words: as this node believes them
-    :param now: this node's monotonic seconds
+    :param limits: limits that this node knows
+    :param now: current time in this node's monotonic seconds
     """
     return tuple(
         LimitRecord(
@@ -33,10 +33,10 @@
 def unpack_limits(
     records: collections.abc.Iterable[LimitRecord], now: float
 ) -> list[VersionedLimit]:
-    """Build words of messages.
+    """Convert messages to limits, with times on this node's clock.
 
-    :param records: of another node
-    :param now: this node's monotonic seconds
+    :param records: messages from another node
+    :param now: current time in this node's monotonic seconds
     """
     return [
         VersionedLimit(
--- a/packages/gateway/src/chivepier/gateway/limits/requestedbackoff.py
+++ b/packages/gateway/src/chivepier/gateway/limits/requestedbackoff.py
@@ -1,13 +1,13 @@
-"""Rest that a target asks for."""
+"""A backoff that a target requests."""
 
 import attrs
 
 
 @attrs.frozen
 class RequestedBackoff:
-    """The target wants nothing from the entry that it answered.
+    """The target wants no requests from the entry that it answered.
 
-    :param seconds: from the answer on
+    :param seconds: duration in seconds, from the answer on
     """
 
     seconds: float
--- a/packages/gateway/src/chivepier/gateway/limits/rest.py
+++ b/packages/gateway/src/chivepier/gateway/limits/rest.py
@@ -1,4 +1,4 @@
-"""What an answer says of the time in which its target wants nothing."""
+"""The backoff that an answer requests, if any."""
 
 from chivepier.gateway.limits.invalidbackoff import InvalidBackoff
 from chivepier.gateway.limits.nobackoff import NoBackoff
--- a/packages/gateway/src/chivepier/gateway/limits/versionedlimit.py
+++ b/packages/gateway/src/chivepier/gateway/limits/versionedlimit.py
@@ -1,19 +1,19 @@
-"""What is believed of the rate that one life of a target takes."""
+"""The rate limit of one incarnation of a target, with its version."""
 
 import attrs
 
 
 @attrs.frozen(kw_only=True)
 class VersionedLimit:
-    """One belief, ordered after those that its finder knew.
+    """A rate limit, ordered after the one that its observer knew.
 
     :param instance: the target's name
-    :param born: start of its life, in Unix milliseconds
-    :param version: one more than that of the word that was known when the
-        request was sent whose answer says so
-    :param rate: requests a second from all entries; ``None`` for no limit
-    :param source: entry that was answered so
-    :param seen: when, in monotonic seconds of this node
+    :param born: start of its incarnation, in Unix milliseconds
+    :param version: one more than the version known when the request was sent
+        whose answer states the limit
+    :param rate: requests per second from all entries; ``None`` for no limit
+    :param source: name of the entry that received the answer
+    :param seen: time of the answer, in monotonic seconds of this node
     """
 
     instance: str
@@ -24,13 +24,12 @@
     seen: float
 
     def supersedes(self, other: "VersionedLimit") -> bool:
-        """Tell whether this word is to be believed rather than another.
+        """Tell whether this limit replaces another one.
 
-        Of words that did not know of each other the lower rate counts: which
-        answer was the later one can't be told, and a target in need is hurt
-        by the higher.
+        Of concurrent limits the lower rate wins: their order is unknown, and
+        the higher rate could harm an overloaded target.
 
-        :param other: about the same instance
+        :param other: a limit of the same instance
         """
         return self._rank() > other._rank()
 
--- a/packages/gateway/src/chivepier/gateway/quarantine/__init__.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Holding back requests under which target after target ends."""
+"""Quarantine of requests that repeatedly end the targets that run them."""
 
 from chivepier.gateway.quarantine.clearance import Clearance
 from chivepier.gateway.quarantine.crashdetector import CrashDetector
--- a/packages/gateway/src/chivepier/gateway/quarantine/clearance.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/clearance.py
@@ -1,15 +1,15 @@
-"""A request that was answered whole."""
+"""Evidence that a request does not end targets."""
 
 import attrs
 
 
 @attrs.frozen
 class Clearance:
-    """What one entry saw of a request that targets had ended under.
+    """A complete answer to a request under which targets had ended.
 
-    :param digest: the request's
-    :param seen: when it was answered, in this node's monotonic seconds
-    :param source: the entry that saw it
+    :param digest: digest of the request
+    :param seen: time of the answer, in this node's monotonic seconds
+    :param source: name of the entry that received the answer
     """
 
     digest: str
--- a/packages/gateway/src/chivepier/gateway/quarantine/crashcheck.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/crashcheck.py
@@ -1,4 +1,4 @@
-"""What is not known yet of a lost request."""
+"""A pending check whether a target has ended."""
 
 import asyncio
 
@@ -10,7 +10,14 @@
 
 @attrs.define(eq=False)
 class CrashCheck:
-    """What is not known yet about one life of a target."""
+    """State of the check whether one incarnation of a target has ended.
+
+    :param target: the target, as it was announced
+    :param until: when the check gives up, in monotonic seconds
+    :param lost: requests that were lost at the target
+    :param watch: task that watches for silence of the target
+    :param probe: task that probes the target
+    """
 
     target: Target
     until: float
--- a/packages/gateway/src/chivepier/gateway/quarantine/crashdetector.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/crashdetector.py
@@ -1,4 +1,4 @@
-"""Finding out whether a target has ended under a request."""
+"""Detection of targets that ended while they ran a request."""
 
 import asyncio
 import collections.abc
@@ -12,28 +12,28 @@
 from chivepier.gateway.targets import TargetTable
 from chivepier.types import Clock
 
-# Seconds after its first event in which a request may be the cause; what has
-# run for longer was there by chance.
+# Time after its first event in which a request may be the cause; one that has
+# run for longer was present by chance.
 SUSPECT_WINDOW_SECONDS = 2.0
-# Seconds after a target's notice from which its end is the one announced.
+# Time after a target's leaving notice from which its end is the announced one.
 LEAVING_GRACE_SECONDS = 1.0
-# Seconds to wait for a look at a target before a request is sent elsewhere; a
-# process that is gone refuses at once.
+# Time to wait for a probe of a target before a request is sent elsewhere. If
+# the process is gone, the connection is refused at once.
 PROBE_WAIT_SECONDS = 0.15
-# Seconds in which the next life of a target, or its silence, shows that it had
-# ended.
+# Time in which the next incarnation of a target, or its silence, can show that
+# it had ended.
 CHECK_SECONDS = 10.0
-# The same where it took a connection after the loss: what was reset was the
-# connection, unless the next life was there already.
+# The same if it accepted a connection after the loss: only the connection was
+# reset, unless the next incarnation was already running.
 ALIVE_CHECK_SECONDS = 3.0
-# Seconds between two looks whether it has fallen silent.
+# Interval between checks whether the target has fallen silent.
 POLL_SECONDS = 0.25
-# Seconds for which a life is known to have ended.
+# Time for which ended and leaving incarnations are remembered.
 ENDED_TTL_SECONDS = 60.0
-# Seconds that a loss may lie before or after an end that others saw.
+# Maximum time between a loss and the end that it is attributed to.
 SAME_CRASH_SECONDS = 1.0
-# Seconds after a target's last word in which it may have taken a request. A
-# target that has gone dark is sent requests for some seconds more.
+# Time after a target's last announcement in which it may have accepted a
+# request. One that has fallen silent is sent requests for some seconds more.
 MAX_SILENCE_SECONDS = 1.5
 
 Probe = collections.abc.Callable[[Target], collections.abc.Awaitable[Liveness]]
@@ -41,18 +41,18 @@
 
 
 class CrashDetector:
-    """Reports the losses whose target has ended.
-
-    A connection breaks for many reasons: a reset on the way, a target that
-    fails a part of what it gets, a cut. A request is suspected only where
-    the target is gone: nothing listens there any more, its next life is
-    announced, or it alone falls silent. An end that was announced, and one
-    long after the request had begun, are not held against it.
-
-    :param table: the targets; tells of their next lives
-    :param probe: looks whether a target lives
-    :param report: is given each loss with what showed the end
-    :param clock: monotonic time
+    """Reports the lost requests whose target has ended.
+
+    Connections break for many reasons: resets on the way, targets that fail
+    some of their requests, network partitions. A request is suspected only if
+    the target is gone: connections to it are refused, its address or its name
+    is announced by another incarnation, or it alone falls silent. Announced
+    ends, and ends long after the first event, do not count against a request.
+
+    :param table: targets; notifies of restarts and announcements
+    :param probe: checks whether a target is alive
+    :param report: called with each lost request and the evidence of the end
+    :param clock: monotonic clock
     """
 
     def __init__(
@@ -74,9 +74,9 @@
         table.restart_watchers.append(self._handle_restart)
 
     def investigate(self, request: LostRequest) -> None:
-        """Begin to find out why a request was lost.
+        """Start to check whether the target of a lost request has ended.
 
-        :param loss: as it was seen
+        :param request: the lost request
         """
         incarnation = Incarnation.of(request.target)
         if not self._may_be_cause(request):
@@ -99,11 +99,11 @@
     def note_ended(
         self, incarnation: Incarnation, at: float, how: str
     ) -> None:
-        """Take that a target has ended, from whatever showed it.
+        """Record that a target has ended, and report the related losses.
 
-        :param life: that has ended
-        :param at: when that was seen, in monotonic seconds
-        :param how: what showed it
+        :param incarnation: incarnation that has ended
+        :param at: when the end was noticed, in monotonic seconds
+        :param how: evidence of the end
         """
         if incarnation in self._ended:
             return
@@ -116,19 +116,19 @@
             self._report_if_related(request, at, how)
 
     async def wait_for_probe(self, target: Target) -> None:
-        """Wait for a moment until it is known whether a target has ended.
+        """Wait briefly for the result of probing a target.
 
-        Sent elsewhere at once, the request under which a third target has
-        just ended would end a fourth.
+        If it were sent elsewhere at once, a request under which a third
+        target has just ended would end a fourth.
 
-        :param target: where a request was lost
+        :param target: target at which a request was lost
         """
         check = self._checks.get(Incarnation.of(target))
         if check is not None and check.probe is not None:
             await asyncio.wait({check.probe}, timeout=PROBE_WAIT_SECONDS)
 
     async def close(self) -> None:
-        """Stop all inquiries."""
+        """Cancel all checks."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -151,7 +151,7 @@
         simultaneous = abs(request.at - at) <= SAME_CRASH_SECONDS
         match how:
             case "restarted" | "replaced":
-                # when it ended isn't known; the inquiry bounds it
+                # the time of the end is unknown; the check's timeout bounds it
                 counts = True
             case "silent":
                 known = self._table.get(request.target.instance)
@@ -175,7 +175,7 @@
     ) -> None:
         now = self._clock.monotonic()
         if self._table.zones.is_evacuated(check.target.zone, now):
-            # nothing is sent there, not even to see whether it lives
+            # evacuated zones get no traffic, not even probes
             return
         found = await self._probe(check.target)
         now = self._clock.monotonic()
@@ -210,7 +210,7 @@
         if target.state is not TargetState.READY:
             self._leaving_since.setdefault(Incarnation.of(target), now)
             return
-        # an address is given to the next target only when the last has ended
+        # an address is reused only after the previous target has ended
         for incarnation, check in list(self._checks.items()):
             same = check.target.address == target.address
             if same and incarnation.instance != target.instance:
--- a/packages/gateway/src/chivepier/gateway/quarantine/digest.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/digest.py
@@ -1,30 +1,30 @@
-"""Telling the same request from others, whatever id it comes under."""
+"""Digests that identify a repeated request independently of its id."""
 
 import hashlib
 
-# Bytes: no two requests ever share one by chance, and no caller can make one
-# that another's request has.
+# Size in bytes: large enough that digests do not collide by chance, and that
+# no caller can produce the digest of another one's request.
 DIGEST_BYTES = 16
-# Characters of it in logs and settings: enough to tell requests apart there.
+# Hexadecimal digits in logs and settings: enough to tell requests apart there.
 SHORT_DIGEST_LENGTH = 12
 
 
 def digest_request(team: str | None, *parts: bytes) -> str:
-    """Digest what makes a request the same one when it comes again.
+    """Compute a digest that stays the same when a request is repeated.
 
-    A caller that asks again uses a new id each time; path, team and body
-    stay. The team is part of it, so that no team's request is taken for
-    another's, and none can have another's refused. Each part goes in with its
-    length: what ends one can't begin the next.
+    A retried request has a new id, but the same path, team and body. The
+    digest includes the team, so that no team can get another team's request
+    refused. Each part is prefixed with its length, so that boundaries between
+    parts are unambiguous.
 
     >>> digest_request("a", b"/x", b"") == digest_request("a", b"/x", b"")
     True
     >>> digest_request("a", b"/x", b"") == digest_request("b", b"/x", b"")
     False
 
-    :param team: whose it is; ``None`` where the route asks for none
+    :param team: team of the caller; ``None`` if the route requires none
     :param parts: method, host, path with query, and the whole body
-    :returns: hexadecimal text
+    :returns: the digest in hexadecimal
     """
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     owner = b"" if team is None else b"t" + team.encode()
@@ -35,5 +35,5 @@
 
 
 def shorten(digest: str) -> str:
-    """Return a digest's head, for a line of a log."""
+    """Return the prefix of a digest that log lines show."""
     return digest[:SHORT_DIGEST_LENGTH]
--- a/packages/gateway/src/chivepier/gateway/quarantine/ending.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/ending.py
@@ -1,4 +1,4 @@
-"""A target that ended while it ran a request."""
+"""Evidence that a target ended while it ran a request."""
 
 import attrs
 
@@ -7,13 +7,13 @@
 
 @attrs.frozen
 class Ending:
-    """What one entry saw.
+    """The end of a target under a request, as one entry observed it.
 
-    :param digest: the request's
-    :param life: of the target
-    :param seen: when it was seen, in this node's monotonic seconds
-    :param source: the entry that saw it
-    :param how: what showed that the target had ended
+    :param digest: digest of the request
+    :param incarnation: incarnation of the target that ended
+    :param seen: time of the observation, in this node's monotonic seconds
+    :param source: name of the entry that observed it
+    :param how: evidence, such as ``refused``, ``restarted`` or ``silent``
     """
 
     digest: str
--- a/packages/gateway/src/chivepier/gateway/quarantine/hold.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/hold.py
@@ -1,4 +1,4 @@
-"""Why and for how long a request is held back."""
+"""The reason and duration for which a request is held back."""
 
 import attrs
 
@@ -9,9 +9,9 @@
 class Hold:
     """The evidence against one request.
 
-    :param digest: the request's
-    :param endings: targets that ended under it, the oldest first; empty where
-        an operator keeps it out
+    :param digest: digest of the request
+    :param endings: ends of targets under it, oldest first; empty if an
+        operator blocked the request
     :param until: when it may be sent again, in monotonic seconds
     """
 
--- a/packages/gateway/src/chivepier/gateway/quarantine/incarnation.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/incarnation.py
@@ -1,4 +1,4 @@
-"""One life of a target."""
+"""One incarnation of a target."""
 
 import attrs
 
@@ -7,10 +7,10 @@
 
 @attrs.frozen
 class Incarnation:
-    """From one start of a target to its end.
+    """One run of a target, from its start to its end.
 
-    :param instance: its name, which the next life may have, too
-    :param born: Unix milliseconds of its start; 0 where it does not tell
+    :param instance: the target's name, which later incarnations may share
+    :param born: start time in Unix milliseconds; 0 if unknown
     """
 
     instance: str
@@ -18,5 +18,5 @@
 
     @classmethod
     def of(cls, target: Target) -> "Incarnation":
-        """Return the life that an announcement is of."""
+        """Return the incarnation that an announced target belongs to."""
         return cls(target.instance, target.born)
--- a/packages/gateway/src/chivepier/gateway/quarantine/ledger.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/ledger.py
@@ -1,4 +1,4 @@
-"""What is known of requests under which targets ended."""
+"""Evidence about requests under which targets ended."""
 
 import collections.abc
 
@@ -9,32 +9,32 @@
 from chivepier.gateway.quarantine.suspects import find_suspects
 from chivepier.gateway.quarantine.suspects import MIN_ENDINGS
 
-# Seconds for which an end counts.
+# Time for which an ending counts as evidence.
 ENDING_TTL_SECONDS = 4 * 3600.0
-# Seconds for which the third end of a target keeps a request back, doubled by
-# each further one.
+# Time for which a request is held back after its third ending, doubled by each
+# further one.
 HOLD_SECONDS = 600.0
-# Seconds after an answer in which ends are not held against the request: many
-# copies of a body that is often asked for run beside any end.
+# Time after an answer in which endings do not count against the request: many
+# copies of a popular request run on any target that ends.
 CLEARANCE_WINDOW_SECONDS = 60.0
-# Seconds for which an answer is remembered: longer than it counts, so that an
-# end that is told late meets it.
+# Time for which an answer is remembered: longer than it counts, so that it
+# also covers endings that are reported late.
 CLEARANCE_TTL_SECONDS = 2 * CLEARANCE_WINDOW_SECONDS
-# Ends that are kept, all requests together.
+# Maximum number of endings, and of clearances, over all requests.
 MAX_RECORDS = 4_000
-# Ends that are kept of one request; more say nothing new.
+# Maximum number of endings per request; more do not change its hold.
 MAX_ENDINGS_PER_REQUEST = 16
 
 Record = Ending | Clearance
 
 
 class Ledger:
-    """Ends and answers by request, merged from whoever tells of them.
+    """Endings and clearances by request, merged from all entries.
 
-    Records are never changed, only added and dropped with time, so that it
-    does not matter in which order, how often and through whom they come.
+    Records are immutable, only added and expired, so that merging does not
+    depend on their order, repetition or route.
 
-    :ivar revision: counts the records that were added
+    :ivar revision: number of records added so far
     :ivar suspects: digests of the requests that are or were held back
 
     >>> ledger = Ledger()
@@ -52,7 +52,7 @@
         self.revision = 0
         self._endings: dict[str, dict[Incarnation, Ending]] = {}
         self._clearances: dict[str, Clearance] = {}
-        # the key of each record with its revision, in the order of these
+        # revision of each record by its key, in ascending order
         self._revisions: dict[tuple[str, Incarnation | None], int] = {}
         self.suspects: frozenset[str] = frozenset()
 
@@ -61,16 +61,16 @@
         return digest in self._endings
 
     def find_endings(self, digest: str) -> list[Ending]:
-        """Return the ends of targets under a request, the oldest first."""
+        """Return the endings recorded for a request, oldest first."""
         found = self._endings.get(digest, {}).values()
         return sorted(found, key=lambda ending: ending.seen)
 
     def find_hold(self, digest: str, now: float) -> Hold | None:
-        """Tell whether a request is held back, and why.
+        """Return the hold on a request, if it is held back.
 
-        :param digest: the request's
-        :param now: monotonic seconds
-        :returns: the evidence, or nothing
+        :param digest: digest of the request
+        :param now: current time in monotonic seconds
+        :returns: the hold with its evidence, or ``None``
         """
         if digest not in self.suspects:
             return None
@@ -84,10 +84,10 @@
         return {d for d in self.suspects if self.find_hold(d, now)}
 
     def add(self, record: Record) -> bool:
-        """Take what this node saw or was told.
+        """Merge a record from this or another node.
 
-        :param record: an end or an answer
-        :returns: whether it is news
+        :param record: an ending or a clearance
+        :returns: whether it was new
         """
         match record:
             case Ending():
@@ -96,16 +96,16 @@
                 return self._add_clearance(record)
 
     def find_newer(self, revision: int) -> collections.abc.Iterator[Record]:
-        """Return the records since a revision, the newest first."""
+        """Yield the records added since a revision, newest first."""
         for key in reversed(self._revisions):
             if self._revisions[key] <= revision:
                 return
             yield self._find(*key)
 
     def expire(self, now: float) -> None:
-        """Drop what no longer counts.
+        """Drop expired records.
 
-        :param now: monotonic seconds
+        :param now: current time in monotonic seconds
         """
         expired = [
             (digest, incarnation)
@@ -159,11 +159,11 @@
         return True
 
     def _evict(self) -> None:
-        """Keep to the bound.
+        """Drop an ending if the ledger is full.
 
-        What goes first are the oldest of the requests that met the fewest
-        ends: most of those ran beside the cause and never come again, while
-        a cause that is forgotten ends three more targets.
+        The oldest ending of the requests with the fewest endings is dropped
+        first: most of those ran beside the cause and never return, whereas a
+        cause that is forgotten ends three more targets.
         """
         if len(self._revisions) - len(self._clearances) < MAX_RECORDS:
             return
--- a/packages/gateway/src/chivepier/gateway/quarantine/lostrequest.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/lostrequest.py
@@ -1,4 +1,4 @@
-"""A request whose target broke off or fell silent."""
+"""A request whose connection broke or whose target stopped responding."""
 
 import attrs
 
@@ -7,17 +7,17 @@
 
 @attrs.frozen(kw_only=True)
 class LostRequest:
-    """What one entry saw of one send.
+    """One failed attempt to run a request on a target.
 
-    :param id: the request's, of this attempt
-    :param digest: the same request's whenever it comes
-    :param team: whose it is
-    :param target: where it was sent
+    :param id: request id of this attempt
+    :param digest: digest of the request, the same for each attempt
+    :param team: team of the caller
+    :param target: target that it was sent to
     :param sent: when it was sent there, in monotonic seconds
-    :param begun: when its first event came from there, in monotonic seconds;
-        ``None`` before that
-    :param broke: whether the connection broke; else nothing came in time
-    :param at: when it was seen, in monotonic seconds
+    :param begun: when its first event arrived, in monotonic seconds; ``None``
+        if none did
+    :param broke: whether the connection broke; otherwise it timed out
+    :param at: when the loss was noticed, in monotonic seconds
     """
 
     id: str
--- a/packages/gateway/src/chivepier/gateway/quarantine/overrides.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/overrides.py
@@ -1,10 +1,10 @@
-"""What operators decide about single requests."""
+"""Operators' overrides of the quarantine for single requests."""
 
 import re
 
 import attrs
 
-# Fewer characters could mean other requests, too.
+# Shorter prefixes could match unrelated requests.
 DIGEST_PREFIX = re.compile("[0-9a-f]{8,32}")
 
 
@@ -19,24 +19,24 @@
 
 @attrs.frozen
 class Overrides:
-    """Digests' heads, as log lines show them; they go before the evidence.
+    """Digest prefixes, as in log lines, that override the evidence.
 
     >>> orders = Overrides(let_through=("0a1b0a1b",), keep_out=("ffffffff",))
     >>> orders.allows("0a1b0a1b22"), orders.blocks("0a1b0a1b22")
     (True, False)
 
-    :param let_through: requests that are sent whatever has ended under them
-    :param keep_out: requests that are sent to no target
-    :raises ValueError: when one is no digest's head of 8 digits or more
+    :param let_through: requests that are sent regardless of the evidence
+    :param keep_out: requests that are never sent to a target
+    :raises ValueError: if one is not a digest prefix of 8 to 32 digits
     """
 
     let_through: tuple[str, ...] = attrs.field(default=(), validator=_check)
     keep_out: tuple[str, ...] = attrs.field(default=(), validator=_check)
 
     def allows(self, digest: str) -> bool:
-        """Tell whether a request goes on whatever the evidence."""
+        """Tell whether a request is allowed regardless of the evidence."""
         return digest.startswith(self.let_through)
 
     def blocks(self, digest: str) -> bool:
-        """Tell whether a request is turned away without any."""
+        """Tell whether a request is refused without evidence."""
         return digest.startswith(self.keep_out)
--- a/packages/gateway/src/chivepier/gateway/quarantine/quarantine.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/quarantine.py
@@ -1,4 +1,4 @@
-"""What one entry holds back, and what it learns of it."""
+"""The quarantine of one entry."""
 
 import collections.abc
 
@@ -22,7 +22,7 @@
 from chivepier.gateway.targets import TargetTable
 from chivepier.types import Clock
 
-# Seconds between two rounds of dropping what no longer counts.
+# Interval between runs that drop expired records.
 EXPIRY_INTERVAL_SECONDS = 5.0
 
 Publish = collections.abc.Callable[[Record], None]
@@ -30,23 +30,23 @@
 
 
 class Quarantine:
-    """Holds back requests under which target after target has ended.
-
-    A request that ends each target that runs it takes all that runs there
-    along, comes again under a new id, and goes to another entry: teams that
-    have nothing to do with it lose their streams, over and over. So what ends
-    targets is remembered by what stays the same, and shared by all entries.
-
-    :ivar publish: tells the other entries what this one saw
-    :ivar watchers: are told of each request that is held back from now on
-
-    :param me: this entry's name
-    :param table: the targets
-    :param probe: looks whether a target lives
-    :param orders: what operators let through and keep out
-    :param clock: monotonic time
-    :param log: decisions
-    :param metrics: counts them
+    """Holds back requests that repeatedly end the targets that run them.
+
+    A request that ends each target that runs it interrupts all other streams
+    there, is retried under a new id and may reach another entry. Suspects are
+    therefore identified by a digest that retries do not change, and the
+    evidence is shared between entries.
+
+    :ivar publish: sends a record of this entry to the other entries
+    :ivar watchers: called with the digest of each request that becomes held
+
+    :param me: name of this entry
+    :param table: targets
+    :param probe: checks whether a target is alive
+    :param orders: operators' overrides
+    :param clock: monotonic clock
+    :param log: log of the decisions
+    :param metrics: counters of the decisions
     """
 
     def __init__(
@@ -74,14 +74,14 @@
 
     @property
     def idle(self) -> bool:
-        """Whether nothing at all is held back."""
+        """Whether no request can be held back."""
         return not self.ledger.suspects and not self.orders.keep_out
 
     def find_hold(self, digest: str) -> Hold | None:
-        """Tell whether a request must not be sent to targets, and why.
+        """Return the hold on a request that must not be sent to targets.
 
-        :param digest: the request's
-        :returns: the evidence, or nothing
+        :param digest: digest of the request
+        :returns: the hold with its evidence, or ``None``
         """
         if self.orders.allows(digest):
             return None
@@ -91,25 +91,25 @@
         return self.ledger.find_hold(digest, now)
 
     def note_loss(self, request: LostRequest) -> None:
-        """Take that a target was lost under a request."""
+        """Check whether the target of a lost request has ended."""
         self.detector.investigate(request)
 
     async def wait_for_check(self, digest: str, target: Target) -> None:
-        """Wait for a moment until it is known why a request was lost.
+        """Wait briefly for the check of a lost request's target.
 
-        Only where one more end would hold it back: others are sent elsewhere
-        at once.
+        Waits only if one more ending would hold the request back; others are
+        retried elsewhere at once.
 
-        :param digest: the request's
-        :param target: where it was lost
+        :param digest: digest of the request
+        :param target: target at which it was lost
         """
         if len(self.ledger.find_endings(digest)) >= MIN_ENDINGS - 1:
             await self.detector.wait_for_probe(target)
 
     def note_answered(self, digest: str) -> None:
-        """Take that a target answered a request whole: it lives on.
+        """Record that a target answered a request completely.
 
-        :param digest: the request's
+        :param digest: digest of the request
         """
         now = self._clock.monotonic()
         self._recent_answers.add(digest, now)
@@ -117,11 +117,11 @@
             self._clear(digest, now)
 
     def note_refused(self, identity: str, team: str, hold: Hold) -> None:
-        """Note that a request was turned away.
+        """Log and count a refused request.
 
-        :param identity: its id
-        :param team: whose it is
-        :param hold: why
+        :param identity: id of the request
+        :param team: team of the caller
+        :param hold: hold for which it was refused
         """
         now = self._clock.monotonic()
         self._metrics.note_quarantine("refused")
@@ -144,7 +144,7 @@
         )
 
     def merge(self, records: collections.abc.Iterable[Record]) -> None:
-        """Take what others saw."""
+        """Merge records from other entries."""
         now = self._clock.monotonic()
         for record in records:
             if not self._add(record):
@@ -158,7 +158,7 @@
                         )
 
     def expire(self) -> None:
-        """Drop what no longer counts."""
+        """Drop expired records."""
         now = self._clock.monotonic()
         if now - self._expired_at < EXPIRY_INTERVAL_SECONDS:
             return
@@ -167,10 +167,10 @@
         self._update_held("time")
 
     def _report_ending(self, request: LostRequest, how: str) -> None:
-        """Take that a target has ended under a request of this entry."""
+        """Record that a target has ended under a request of this entry."""
         answered_at = self._recent_answers.find(request.digest, request.at)
         if answered_at is not None:
-            # its copies are at many targets, and were answered by others
+            # copies of it run on many targets, and others answered them
             self._log.info(
                 "ending_passed_over",
                 id=request.id,
--- a/packages/gateway/src/chivepier/gateway/quarantine/recentanswers.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/recentanswers.py
@@ -1,13 +1,13 @@
-"""Requests that were answered lately."""
+"""Requests that were answered recently."""
 
 from chivepier.gateway.quarantine.ledger import CLEARANCE_WINDOW_SECONDS
 
-# Requests that are remembered.
+# Maximum number of requests that are remembered.
 MAX_RECENT_ANSWERS = 4_096
 
 
 class RecentAnswers:
-    """Remembers which requests targets answered whole, the newest of them.
+    """Bounded record of the requests that targets answered completely.
 
     >>> memory = RecentAnswers()
     >>> memory.add("d", 5.0)
@@ -19,10 +19,10 @@
         self._answered: dict[str, float] = {}
 
     def add(self, digest: str, now: float) -> None:
-        """Note that a request was answered.
+        """Record that a request was answered.
 
-        :param digest: the request's
-        :param now: monotonic seconds
+        :param digest: digest of the request
+        :param now: current time in monotonic seconds
         """
         self._answered.pop(digest, None)
         self._answered[digest] = now
@@ -30,10 +30,10 @@
             del self._answered[next(iter(self._answered))]
 
     def find(self, digest: str, now: float) -> float | None:
-        """Return when a request was answered last, if that still counts.
+        """Return when a request was last answered, if recently.
 
-        :param digest: the request's
-        :param now: monotonic seconds
+        :param digest: digest of the request
+        :param now: current time in monotonic seconds
         """
         answered = self._answered.get(digest)
         if answered is None or now - answered >= CLEARANCE_WINDOW_SECONDS:
--- a/packages/gateway/src/chivepier/gateway/quarantine/records.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/records.py
@@ -1,4 +1,4 @@
-"""What is known of requests that end targets, as messages."""
+"""Conversion of quarantine records to and from messages."""
 
 import collections.abc
 
@@ -14,10 +14,10 @@
 def pack_records(
     records: collections.abc.Iterable[Record], now: float
 ) -> QuarantineNotice:
-    """Turn records into a message, with ages in place of times.
+    """Convert records to a message, with ages in place of times.
 
-    :param records: ends and answers
-    :param now: this node's monotonic seconds
+    :param records: endings and clearances
+    :param now: current time in this node's monotonic seconds
     """
     endings, clearances = [], []
     for record in records:
@@ -42,11 +42,11 @@
 
 
 def unpack_records(notice: QuarantineNotice, now: float) -> list[Record]:
-    """Build records of a message.
+    """Convert a message to records.
 
-    :param notice: the message
-    :param now: this node's monotonic seconds
-    :returns: ends and answers, with times on this node's clock
+    :param notice: message from another node
+    :param now: current time in this node's monotonic seconds
+    :returns: endings and clearances, with times on this node's clock
     """
     endings = [
         Ending(
--- a/packages/gateway/src/chivepier/gateway/quarantine/suspects.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/suspects.py
@@ -1,12 +1,12 @@
-"""Telling the request that ends targets from those that ran beside it."""
+"""Identification of requests that end targets."""
 
 import collections.abc
 import itertools
 
 from chivepier.gateway.quarantine.incarnation import Incarnation
 
-# Ends of targets under one request after which it is held back: two may happen
-# to one that ran beside the cause and was sent again.
+# Number of endings from which a request is held back. An innocent request that
+# ran beside the cause and was retried may see two.
 MIN_ENDINGS = 3
 
 IncarnationsByDigest = collections.abc.Mapping[
@@ -15,20 +15,20 @@
 
 
 def find_suspects(ends: IncarnationsByDigest) -> set[str]:
-    """Find the requests to hold back.
+    """Find the requests that most likely cause targets to end.
 
-    All that ran at a target was there when it ended, and a request that is
-    sent again beside the cause meets several ends, too. Those under which the
-    most targets have ended are taken first; where each end that another one
-    met is one of theirs, it is explained, and the other one goes on.
+    Each request that ran on a target is present when it ends, and one that is
+    retried beside the cause may see several ends. Requests are taken by
+    descending number of endings, and one whose endings are all covered by
+    suspects with more endings is not a suspect.
 
     >>> a, b, c, d = (Incarnation(name, 0) for name in "abcd")
     >>> beside, once = {a, b, c}, {d}
     >>> find_suspects({"cause": {a, b, c, d}, "beside": beside, "once": once})
     {'cause'}
 
-    :param ends: lives of targets that ended, by the request's digest
-    :returns: digests
+    :param ends: incarnations that ended, by digest of the request
+    :returns: digests of the suspects
     """
     suspects = [
         d
@@ -39,7 +39,7 @@
     held: set[str] = set()
     explained: set[Incarnation] = set()
     for _, tied in itertools.groupby(suspects, lambda d: len(ends[d])):
-        # of those that met equally many, none explains the other
+        # requests with equally many endings do not cover each other
         unexplained = [
             digest for digest in tied if not ends[digest] <= explained
         ]
--- a/packages/gateway/src/chivepier/gateway/zones/__init__.py
+++ b/packages/gateway/src/chivepier/gateway/zones/__init__.py
@@ -1,4 +1,4 @@
-"""What operators and settings say of availability zones."""
+"""Availability zones: their regions and evacuation orders."""
 
 from chivepier.gateway.zones.freshness import Freshness
 from chivepier.gateway.zones.records import pack_order
--- a/packages/gateway/src/chivepier/gateway/zones/freshness.py
+++ b/packages/gateway/src/chivepier/gateway/zones/freshness.py
@@ -1,27 +1,27 @@
-"""Whether what an entry knows of operators' orders is recent."""
+"""Freshness of the evacuation orders that an entry knows."""
 
 import collections.abc
 
 from chivepier.types import Clock
 from chivepier.types import Signal
 
-# Seconds after the last word of a voter in which nothing is asked; only an
-# entry that stood still, or is cut off, misses so many beats.
+# Age up to which the last update from a voter counts as recent. Only an entry
+# that was suspended or is partitioned misses so many heartbeats.
 MAX_AGE_SECONDS = 1.5
-# Seconds to wait for a word when there was none for longer; then the entry
-# goes on with what it knows.
+# Time to wait for an update if the last one is older; afterwards the entry
+# continues with the orders that it knows.
 REPLY_TIMEOUT_SECONDS = 0.3
 
 
 class Freshness:
-    """Lets an entry ask before it sends, when it has long heard nothing.
+    """Delays sends until stale evacuation orders have been refreshed.
 
-    A frozen entry wakes with callers' requests in its sockets. Zones may have
-    been evacuated meanwhile.
+    An entry that resumes after suspension has pending requests in its sockets,
+    and zones may have been evacuated in the meantime.
 
-    :ivar ask: speaks to the voters at once
+    :ivar request_update: requests an update from the voters at once
 
-    :param clock: counts suspension too
+    :param clock: monotonic clock that also counts suspension
     """
 
     def __init__(self, clock: Clock):
@@ -32,20 +32,20 @@
         self.request_update: collections.abc.Callable[[], None] = lambda: None
 
     def note_update(self) -> None:
-        """Note that a voter has told what it knows."""
+        """Record an update from a voter."""
         self._heard = self._clock.monotonic()
         self._timed_out_at = None
         self._updated.set()
 
     @property
     def recent(self) -> bool:
-        """Whether something may be sent without asking."""
+        """Whether requests may be sent without waiting for an update."""
         if self._timed_out_at is not None:
             return True
         return self._clock.monotonic() - self._heard <= MAX_AGE_SECONDS
 
     async def wait(self) -> None:
-        """Return once a voter has spoken, or does not for too long."""
+        """Wait for an update if the orders are stale, up to a timeout."""
         if self.recent:
             return
         self.request_update()
--- a/packages/gateway/src/chivepier/gateway/zones/records.py
+++ b/packages/gateway/src/chivepier/gateway/zones/records.py
@@ -1,14 +1,14 @@
-"""Orders about zones as messages."""
+"""Conversion of evacuation orders to and from messages."""
 
 from chivepier.gateway.messages import ZoneRecord
 from chivepier.gateway.zones.zoneorder import ZoneOrder
 
 
 def pack_order(order: ZoneOrder, now: float) -> ZoneRecord:
-    """Turn an order into a message.
+    """Convert an order to a message.
 
-    :param order: as this node knows it
-    :param now: this node's monotonic seconds
+    :param order: the order
+    :param now: current time in this node's monotonic seconds
     :returns: the message, with an age in place of the time
     """
     age = max(0.0, now - order.since)
@@ -16,10 +16,10 @@
 
 
 def unpack_order(record: ZoneRecord, now: float) -> ZoneOrder:
-    """Build an order of a message.
+    """Convert a message to an order.
 
     :param record: the message
-    :param now: this node's monotonic seconds
+    :param now: current time in this node's monotonic seconds
     :returns: the order, with the time on this node's clock
     """
     return ZoneOrder(
--- a/packages/gateway/src/chivepier/gateway/zones/zoneorder.py
+++ b/packages/gateway/src/chivepier/gateway/zones/zoneorder.py
@@ -1,17 +1,17 @@
-"""An operator's last order about an availability zone."""
+"""An operator's order to evacuate or readmit an availability zone."""
 
 import attrs
 
 
 @attrs.frozen
 class ZoneOrder:
-    """Whether a zone's targets get nothing new.
+    """The last committed order about an availability zone.
 
-    :param zone: its name
-    :param index: of the order in the replicated log; a later one counts
-    :param evacuated: whether nothing new may be sent there
-    :param since: when it was committed, as far as this node knows, in its
-        monotonic seconds
+    :param zone: name of the zone
+    :param index: index of the order in the replicated log; the highest wins
+    :param evacuated: whether no new requests may be sent to the zone
+    :param since: when it was committed, as far as this node knows, in this
+        node's monotonic seconds
     """
 
     zone: str
--- a/packages/gateway/src/chivepier/gateway/zones/zones.py
+++ b/packages/gateway/src/chivepier/gateway/zones/zones.py
@@ -1,21 +1,21 @@
-"""The availability zones, as one node knows them."""
+"""The availability zones that one node knows."""
 
 import collections.abc
 
 from chivepier.gateway.zones.zoneorder import ZoneOrder
 
-# Seconds for which a voter's presumption of an order counts at an entry; it is
-# said again with each beat.
+# Time for which an entry applies an evacuation that a voter presumes; each
+# heartbeat renews it.
 PRESUMPTION_TTL_SECONDS = 3.0
 
 Watcher = collections.abc.Callable[[ZoneOrder], None]
 
 
 class Zones:
-    """Regions of the zones, and which of the zones are evacuated.
+    """Regions of the zones and their evacuation state.
 
-    Orders come from several voters, late and twice: that of the highest log
-    index counts, so that an older one never undoes a newer one.
+    Orders arrive from several voters, possibly late or repeatedly. The one
+    with the highest log index wins, so an older one never undoes a newer one.
 
     >>> zones = Zones({"a1": "north"})
     >>> zones.put(ZoneOrder("a1", 7, True, 0.0))
@@ -25,9 +25,9 @@
     >>> zones.is_evacuated("a1")
     True
 
-    :ivar watchers: are told of each order that is news
+    :ivar watchers: called with each new order
 
-    :param regions: by zone, from the settings
+    :param regions: region of each zone, from the settings
     """
 
     def __init__(
@@ -40,12 +40,12 @@
 
     @property
     def orders(self) -> tuple[ZoneOrder, ...]:
-        """The last order about each zone that ever had one."""
+        """The last order of each zone that has had one."""
         return tuple(self._orders.values())
 
     @property
     def last_index(self) -> int:
-        """The highest log index of an order; -1 without any."""
+        """The highest log index of all orders; -1 if there are none."""
         return max((o.index for o in self._orders.values()), default=-1)
 
     def has_zone(self, zone: str) -> bool:
@@ -53,14 +53,14 @@
         return zone in self._regions
 
     def find_region(self, zone: str) -> str | None:
-        """Return a zone's region; ``None`` where the settings name none."""
+        """Return the region of a zone; ``None`` if the settings have none."""
         return self._regions.get(zone)
 
     def put(self, order: ZoneOrder) -> bool:
-        """Take an order that was committed.
+        """Merge a committed order.
 
         :param order: the order
-        :returns: whether it was news
+        :returns: whether it was newer than the known one
         """
         known = self._orders.get(order.zone)
         if known is not None and known.index >= order.index:
@@ -73,26 +73,26 @@
         return True
 
     def presume(self, zone: str, until: float) -> None:
-        """Keep to an order that may have been committed.
+        """Treat a zone as evacuated while its order may have been committed.
 
-        :param zone: that may be evacuated
-        :param until: when this no longer counts, in monotonic seconds
+        :param zone: name of the zone
+        :param until: end of the presumption, in monotonic seconds
         """
         self._presumed[zone] = until
 
     def withdraw(self, zone: str) -> None:
-        """Drop what was presumed of a zone."""
+        """Withdraw the presumed evacuation of a zone."""
         self._presumed.pop(zone, None)
 
     def find_order(self, zone: str) -> ZoneOrder | None:
-        """Return the last order about a zone, if there was one."""
+        """Return the last order about a zone, or ``None``."""
         return self._orders.get(zone)
 
     def is_evacuated(self, zone: str, now: float = 0.0) -> bool:
-        """Tell whether nothing new may be sent to a zone's targets.
+        """Tell whether new requests to a zone's targets are forbidden.
 
-        :param zone: its name
-        :param now: monotonic seconds
+        :param zone: name of the zone
+        :param now: current time in monotonic seconds
         """
         order = self._orders.get(zone)
         if order is not None and order.evacuated:
@@ -105,23 +105,23 @@
         regions: collections.abc.Collection[str] | None,
         now: float,
     ) -> bool:
-        """Tell whether something new may be sent to a zone's targets.
+        """Tell whether new requests may be sent to a zone's targets.
 
-        A zone whose region isn't known lies in none that is allowed.
+        A zone of unknown region is in none of the allowed regions.
 
-        :param zone: its name
-        :param regions: that the request may reach; ``None`` for all
-        :param now: monotonic seconds
+        :param zone: name of the zone
+        :param regions: regions allowed for the request; ``None`` for all
+        :param now: current time in monotonic seconds
         """
         if self.is_evacuated(zone, now):
             return False
         return regions is None or self.find_region(zone) in regions
 
     def find_readmission(self, zone: str) -> float | None:
-        """Return when a zone was last taken back, in monotonic seconds.
+        """Return when a zone was last readmitted, in monotonic seconds.
 
-        :param zone: its name
-        :returns: ``None`` where it is evacuated, or never was
+        :param zone: name of the zone
+        :returns: ``None`` if it is evacuated or never was
         """
         order = self._orders.get(zone)
         if order is None or order.evacuated:
