--- a/packages/gateway/src/chivepier/gateway/limits/__init__.py
+++ b/packages/gateway/src/chivepier/gateway/limits/__init__.py
@@ -1,5 +1,6 @@
 """Rate limits and backoffs that targets request in their answers."""
 
+from chivepier.gateway.limits.backoff import Backoff
 from chivepier.gateway.limits.backofftable import BackoffTable
 from chivepier.gateway.limits.backofftable import MAX_BACKOFF_SECONDS
 from chivepier.gateway.limits.backofftable import MAX_INHERITED_SECONDS
@@ -15,7 +16,6 @@
 from chivepier.gateway.limits.records import pack_limits
 from chivepier.gateway.limits.records import unpack_limits
 from chivepier.gateway.limits.requestedbackoff import RequestedBackoff
-from chivepier.gateway.limits.rest import Backoff
 from chivepier.gateway.limits.versionedlimit import VersionedLimit
 
 __all__ = [
