--- a/packages/gateway/src/chivepier/gateway/limits/tests/test_backofftable.py
+++ b/packages/gateway/src/chivepier/gateway/limits/tests/test_backofftable.py
@@ -1,4 +1,4 @@
-"""Tests of when targets that asked for rest are sent something again."""
+"""Tests of when targets that requested a backoff get requests again."""
 
 import random
 
@@ -14,33 +14,33 @@
 
 
 def make_table(seconds: float = 3.0) -> BackoffTable:
-    """Make a board whose target asked for rest at moment 10."""
+    """Make a table whose target requested a backoff at second 10."""
     table = BackoffTable(random.Random(1))
     table.add("i1", 1, seconds, 10.0)
     return table
 
 
-def find_end(table: BackoffTable, now: float = 10.0) -> float:
-    """Return when the target may be sent something again."""
+def find_backoff_end(table: BackoffTable, now: float = 10.0) -> float:
+    """Return when the target may be sent requests again."""
     return now + table.find_delay("i1", 1, now)
 
 
-def test_shorter_rest_ends_no_longer_one():
+def test_shorter_backoff_does_not_cut_longer_one():
     table = make_table()
-    end = find_end(table)
+    end = find_backoff_end(table)
     assert not table.add("i1", 1, 0.5, 10.1)
-    assert find_end(table) == end
+    assert find_backoff_end(table) == end
     table.add("i1", 1, 9.0, 10.2)
-    assert find_end(table) >= 19.2
+    assert find_backoff_end(table) >= 19.2
 
 
-def test_late_answer_that_asks_for_nothing_ends_no_rest():
+def test_late_answer_without_backoff_does_not_end_one():
     table = make_table()
     table.note_answered("i1", 1, 11.0)
     assert table.find_delay("i1", 1, 12.9) is not None
 
 
-def test_rest_binds_one_life_alone():
+def test_backoff_applies_to_one_incarnation_only():
     table = make_table()
     assert table.find_delay("i1", 2, 11.0) is None
     table.add("i1", 2, 3.0, 11.0)
@@ -49,9 +49,9 @@
     assert table.find_delay("i1", 2, 11.0) is not None
 
 
-def test_rest_that_the_next_life_may_have_asked_for_holds_for_it():
-    # A target had started again, and asked for rest before its announcement
-    # came: what it asked counted as its earlier life's, and it was sent more.
+def test_backoff_possibly_of_next_incarnation_applies_to_it():
+    # A restarted target requests a backoff before its announcement arrives.
+    # The backoff is recorded under the old incarnation and must carry over.
     table = make_table(5.0)
     table.end_incarnation("i1", 1, heard=9.5)
     assert table.find_delay("i1", 2, 14.9) is not None
@@ -61,31 +61,31 @@
     assert not table
 
 
-def test_rest_that_the_earlier_life_asked_for_ends_with_it():
+def test_backoff_of_ended_incarnation_ends_with_it():
     table = make_table(5.0)
     table.end_incarnation("i1", 1, heard=10.5)
     assert table.find_delay("i1", 2, 11.0) is None
     assert not table
 
 
-def test_rest_of_either_life_is_bounded():
+def test_inherited_backoff_is_bounded():
     table = make_table(3_000.0)
     table.end_incarnation("i1", 1, heard=9.5)
     assert table.find_delay("i1", 2, 10.0 + MAX_INHERITED_SECONDS) is None
 
 
-def test_rest_of_more_than_an_hour_is_one_hour():
+def test_backoff_is_capped_at_one_hour():
     table = make_table(1e12)
-    end = find_end(table)
+    end = find_backoff_end(table)
     assert MAX_BACKOFF_SECONDS <= end - 10.0 <= MAX_BACKOFF_SECONDS + 0.5
 
 
 @pytest.mark.parametrize("answered", (True, False))
-def test_what_waited_for_the_end_of_a_rest_comes_after_the_first_answer(
+def test_requests_after_backoff_wait_for_first_answer(
     answered,
 ):
     table = make_table()
-    end = find_end(table)
+    end = find_backoff_end(table)
     assert table.find_delay("i1", 1, end) is None
     table.note_sent("i1", 1, end)
     assert table.find_delay("i1", 1, end + 0.01) is not None
@@ -96,12 +96,12 @@
         assert table.find_delay("i1", 1, end + PROBE_SECONDS) is None
 
 
-def test_entries_asked_at_one_moment_do_not_come_back_at_one():
+def test_entries_told_to_back_off_together_return_spread_out():
     ends = set()
     for seed in range(20):
         table = BackoffTable(random.Random(seed))
         table.add("i1", 1, 3.0, 10.0)
-        ends.add(round(find_end(table), 3))
+        ends.add(round(find_backoff_end(table), 3))
     assert min(ends) >= 13.0 and max(ends) <= 13.5
     assert len(ends) > 15
 
@@ -117,8 +117,8 @@
 
 @settings(derandomize=True, max_examples=300)
 @given(STEPS, strategies.integers(0, 9))
-def test_nothing_goes_to_a_life_at_rest_and_rests_end(steps, seed):
-    # Any order of answers, also of ones to earlier lives, that come late.
+def test_no_request_is_sent_during_backoff_and_backoffs_end(steps, seed):
+    # Answers in any order, including late ones of earlier incarnations.
     table, now, born = BackoffTable(random.Random(seed)), 0.0, 1
     earliest: dict[int, float] = {}
     for step, seconds in steps:
--- a/packages/gateway/src/chivepier/gateway/limits/tests/test_limittable.py
+++ b/packages/gateway/src/chivepier/gateway/limits/tests/test_limittable.py
@@ -1,4 +1,4 @@
-"""Tests of what is believed of limits, in whatever order it is told."""
+"""Tests of merging rate limits in any order of arrival."""
 
 import attrs
 from hypothesis import given
@@ -19,14 +19,14 @@
 
 
 def make_limit(rate: float | None):
-    """Build what an answer says."""
+    """Build the limit that an answer states."""
     return NoLimit() if rate is None else RateLimit(rate)
 
 
 def make_record(
     version: int, rate: float | None, born: int = 1
 ) -> VersionedLimit:
-    """Build a word about one target."""
+    """Build a versioned limit of one target."""
     return VersionedLimit(
         instance="i1",
         born=born,
@@ -37,14 +37,14 @@
     )
 
 
-def test_late_answer_from_before_the_limit_does_not_end_it():
+def test_answer_to_earlier_request_does_not_clear_limit():
     table = LimitTable("e1")
     table.observe("i1", 1, None, RateLimit(1.5), 0.0)
     assert not table.observe("i1", 1, None, NoLimit(), 0.1)
     assert table.find_rate("i1", 1) == 1.5
 
 
-def test_answers_that_do_not_know_of_each_other_leave_the_lower_rate():
+def test_lower_rate_of_concurrent_answers_wins():
     table = LimitTable("e1")
     table.observe("i1", 1, None, RateLimit(2.0), 0.0)
     table.observe("i1", 1, None, RateLimit(1.0), 0.1)
@@ -52,7 +52,7 @@
     assert table.find_rate("i1", 1) == 1.0
 
 
-def test_limit_rises_and_ends_with_answers_to_later_requests():
+def test_later_answers_raise_and_clear_limit():
     table = LimitTable("e1")
     table.observe("i1", 1, None, RateLimit(1.0), 0.0)
     table.observe("i1", 1, table.find("i1", 1), RateLimit(2.0), 0.1)
@@ -61,7 +61,7 @@
     assert table.find_rate("i1", 1) is None
 
 
-def test_limit_that_is_no_number_neither_sets_nor_ends_one():
+def test_invalid_limit_neither_sets_nor_clears_one():
     table = LimitTable("e1")
     assert not table.observe("i1", 1, None, InvalidLimit(), 0.0)
     table.observe("i1", 1, None, RateLimit(1.5), 0.0)
@@ -69,7 +69,7 @@
     assert table.find_rate("i1", 1) == 1.5
 
 
-def test_next_life_of_a_target_is_not_bound_by_the_last_ones_limit():
+def test_limit_does_not_bind_next_incarnation():
     table = LimitTable("e1")
     table.put(make_record(9, 1.5, born=1))
     assert table.find_rate("i1", 2) is None
@@ -78,7 +78,7 @@
     assert table.find_rate("i1", 2) == 3.0
 
 
-def test_rate_that_no_target_reaches_binds_nobody():
+def test_unreachable_rate_is_no_limit():
     table = LimitTable("e1")
     table.put(make_record(1, 1e9))
     assert table.find_rate("i1", 1) is None
@@ -86,9 +86,9 @@
     assert table.find_rate("i1", 1) == 0.0
 
 
-def test_life_that_has_ended_takes_no_word_of_the_next_with_it():
-    # The word about the next life came before its announcement, and the end
-    # of the last one dropped it: the entry would send at full rate.
+def test_forgetting_incarnation_keeps_limit_of_next_one():
+    # The limit of the next incarnation arrives before its announcement. If
+    # ending the old one dropped it, the entry would send at full rate.
     table = LimitTable("e1")
     table.put(make_record(3, 0.5, born=1))
     table.put(make_record(1, 1.5, born=2))
@@ -98,7 +98,7 @@
     assert list(table) == [] and table.find_newer(0) == []
 
 
-def test_words_about_unknown_targets_do_not_pile_up():
+def test_limits_of_unknown_targets_are_bounded():
     table = LimitTable("e1")
     for number in range(MAX_UNKNOWN_TARGETS + 1):
         table.observe(f"i{number}", 1, None, RateLimit(1.5), 0.0)
@@ -108,7 +108,7 @@
     assert list(table) == [] and table.find_newer(0) == []
 
 
-def test_words_are_the_same_after_their_way_to_another_node():
+def test_limits_survive_round_trip_through_messages():
     records = [make_record(1, 1.5), make_record(2, None), make_record(3, 0.0)]
     told = unpack_limits(pack_limits(records, 5.0), 105.0)
     assert [attrs.evolve(record, seen=0.0) for record in told] == records
@@ -125,7 +125,7 @@
 
 @settings(derandomize=True, max_examples=300)
 @given(strategies.lists(RECORDS, max_size=8), strategies.randoms())
-def test_any_order_and_repetition_leads_to_one_belief(records, rng):
+def test_merge_is_independent_of_order_and_repetition(records, rng):
     first, second = LimitTable("e1"), LimitTable("e2")
     for record in records:
         first.put(record)
@@ -137,7 +137,7 @@
 
 
 class Model:
-    """A target, entries that ask it, and words that may be lost."""
+    """A target, entries that send to it, and updates that may be lost."""
 
     def __init__(self):
         self.rate = None
@@ -145,24 +145,24 @@
         self.answers = []
 
     def send(self, entry: int) -> None:
-        """Let an entry send a request, which is answered at once."""
+        """Send a request from an entry; its answer is queued at once."""
         known = self.tables[entry].find("i1", 1)
         self.answers.append((entry, known, make_limit(self.rate)))
 
     def arrive(self, place: int) -> None:
-        """Let one of the answers that are on their way arrive."""
+        """Deliver one of the queued answers."""
         if self.answers:
             place %= len(self.answers)
             entry, known, limit = self.answers.pop(place)
             self.tables[entry].observe("i1", 1, known, limit, 0.0)
 
     def tell(self, source: int, to: int) -> None:
-        """Let one entry's words reach another."""
+        """Deliver the limits of one entry to another."""
         for record in self.tables[source].find_newer(0):
             self.tables[to].put(record)
 
     def tell_all(self) -> None:
-        """Let every word reach everybody."""
+        """Deliver the limits of every entry to all others."""
         for source in range(ENTRIES):
             for to in range(ENTRIES):
                 self.tell(source, to)
@@ -184,9 +184,9 @@
 
 @settings(derandomize=True, max_examples=300)
 @given(strategies.lists(STEPS, max_size=40))
-def test_entries_come_to_believe_what_the_target_says(steps):
-    # Whatever overtook whatever and was lost: once what is on its way has
-    # come and been told, one more answer brings all to the target's word.
+def test_entries_converge_to_limit_of_target(steps):
+    # After any reordering and loss: once all queued answers are delivered and
+    # shared, one more answer makes all entries agree with the target.
     model = Model()
     for name, *arguments in steps:
         if name == "name":
--- a/packages/gateway/src/chivepier/gateway/quarantine/tests/test_crashdetector.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/tests/test_crashdetector.py
@@ -1,4 +1,4 @@
-"""Tests of finding out whether a target has ended under a request."""
+"""Tests of detecting targets that ended while they ran a request."""
 
 import asyncio
 
@@ -21,7 +21,7 @@
 
 
 class Fixture:
-    """A judge over a table of two targets."""
+    """A detector with a table of two targets."""
 
     def __init__(self) -> None:
         self.clock = ManualClock()
@@ -48,7 +48,7 @@
         state: TargetState = TargetState.READY,
         **changes,
     ) -> None:
-        """Let a target say something of itself."""
+        """Announce a target."""
         fields = {
             "instance": name,
             "service": "s",
@@ -65,7 +65,7 @@
     def lose(
         self, digest: str = "d", name: str = "a", **changes
     ) -> LostRequest:
-        """Lose a request that was just sent."""
+        """Report the loss of a request that was just sent."""
         now = self.clock.monotonic()
         fields = {
             "id": "r1",
@@ -82,20 +82,20 @@
         return loss
 
     async def advance(self, seconds: float) -> None:
-        """Let time pass in small steps, with what happens meanwhile."""
+        """Advance the clock in small steps and run the tasks in between."""
         for _ in range(round(seconds / 0.25)):
             await self.yield_to_tasks()
             self.clock.advance(0.25)
         await self.yield_to_tasks()
 
     async def yield_to_tasks(self) -> None:
-        """Let all that can go on do so."""
+        """Run all tasks that are ready."""
         for _ in range(5):
             await asyncio.sleep(0)
 
 
 def run_with_fixture(test) -> None:
-    """Run a test's coroutine over a scene."""
+    """Run a test coroutine with a new fixture."""
 
     async def work():
         fixture = Fixture()
@@ -105,7 +105,7 @@
     asyncio.run(work())
 
 
-def test_target_where_nothing_listens_has_ended():
+def test_refused_connection_shows_end():
     async def test(fixture):
         fixture.liveness = Liveness.ENDED
         loss = fixture.lose()
@@ -115,9 +115,9 @@
     run_with_fixture(test)
 
 
-def test_connection_that_was_reset_on_the_way_accuses_nobody():
-    # All connections of an instance were reset. Each request that was lost
-    # with one came again, elsewhere; the targets live.
+def test_connection_reset_with_live_target_is_not_reported():
+    # All connections of an instance are reset and the lost requests retried
+    # elsewhere, but the targets are alive.
     async def test(fixture):
         fixture.lose()
         await fixture.advance(ALIVE_CHECK_SECONDS + 1.0)
@@ -127,9 +127,9 @@
     run_with_fixture(test)
 
 
-def test_next_life_shows_that_a_cut_off_target_had_ended():
-    # Nothing came back: not from the target, nor from a look at it. It had
-    # ended behind a cut, and announces its next life when that heals.
+def test_next_incarnation_shows_end_of_partitioned_target():
+    # Neither the request nor the probe gets an answer: the target ended behind
+    # a partition, and announces its next incarnation when that heals.
     async def test(fixture):
         fixture.liveness = Liveness.UNKNOWN
         fixture.lose(broke=False)
@@ -140,7 +140,7 @@
     run_with_fixture(test)
 
 
-def test_another_target_at_its_address_shows_that_it_has_ended():
+def test_other_target_at_same_address_shows_end():
     async def test(fixture):
         fixture.liveness = Liveness.UNKNOWN
         fixture.lose()
@@ -151,7 +151,7 @@
     run_with_fixture(test)
 
 
-def test_target_that_alone_falls_silent_has_ended():
+def test_silence_of_one_target_shows_end():
     async def test(fixture):
         fixture.liveness = Liveness.UNKNOWN
         fixture.lose()
@@ -163,9 +163,9 @@
     run_with_fixture(test)
 
 
-def test_entry_that_hears_nobody_accuses_nobody():
-    # An entry was cut off from all voters. Every target fell silent for it at
-    # once, and every request that was lost then would be held against it.
+def test_silence_of_all_targets_is_not_reported():
+    # An entry partitioned from all voters sees every target fall silent at
+    # once, and would suspect every request that is lost then.
     async def test(fixture):
         fixture.liveness = Liveness.UNKNOWN
         fixture.lose()
@@ -175,7 +175,7 @@
     run_with_fixture(test)
 
 
-def test_what_was_sent_to_a_target_that_was_dark_already_is_not_the_cause():
+def test_request_sent_to_silent_target_is_not_reported():
     async def test(fixture):
         fixture.liveness = Liveness.UNKNOWN
         await fixture.advance(2.5)
@@ -189,7 +189,7 @@
     run_with_fixture(test)
 
 
-def test_stream_that_has_run_for_long_is_not_the_cause():
+def test_long_running_stream_is_not_reported():
     async def test(fixture):
         fixture.liveness = Liveness.ENDED
         now = fixture.clock.monotonic()
@@ -205,9 +205,9 @@
     ("seconds", "reports"),
     [(0.25, [("d", "refused")]), (LEAVING_GRACE_SECONDS + 0.5, [])],
 )
-def test_end_that_was_announced_accuses_nobody(seconds, reports):
-    # A target is taken away two seconds after its notice, and what runs there
-    # is lost. One that ends at once after it had another reason.
+def test_announced_end_is_not_reported(seconds, reports):
+    # A leaving target is stopped two seconds after its notice, and its streams
+    # are lost. One that ends right after the notice has another reason.
     async def test(fixture):
         fixture.announce("a", 2, TargetState.LEAVING)
         await fixture.advance(seconds)
@@ -219,7 +219,7 @@
     run_with_fixture(test)
 
 
-def test_end_that_another_entry_saw_counts_for_what_was_lost_with_it():
+def test_end_seen_by_other_entry_counts_for_simultaneous_losses():
     async def test(fixture):
         fixture.liveness = Liveness.UNKNOWN
         fixture.lose("before", broke=False)
@@ -234,7 +234,7 @@
     run_with_fixture(test)
 
 
-def test_inquiries_end():
+def test_checks_terminate():
     async def test(fixture):
         for number in range(20):
             fixture.lose(f"d{number}")
--- a/packages/gateway/src/chivepier/gateway/quarantine/tests/test_digest.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/tests/test_digest.py
@@ -1,12 +1,11 @@
-"""Tests of telling requests apart."""
+"""Tests of request digests."""
 
 from chivepier.gateway.quarantine import digest_request
 from chivepier.gateway.quarantine import shorten
 
 
-def test_teams_and_parts_are_told_apart():
-    # One team could have another's request refused by a digest that is the
-    # same.
+def test_digest_distinguishes_teams_and_parts():
+    # With equal digests, one team could get another team's request refused.
     digests = {
         digest_request(team, *parts)
         for team in (None, "", "a", "b")
@@ -15,6 +14,6 @@
     assert len(digests) == 16
 
 
-def test_head_is_what_logs_and_settings_show():
+def test_short_digest_is_prefix():
     digest = digest_request("a", b"x")
     assert digest.startswith(shorten(digest)) and len(shorten(digest)) == 12
