--- a/packages/gateway/src/chivepier/gateway/limits/backofftable.py
+++ b/packages/gateway/src/chivepier/gateway/limits/backofftable.py
@@ -32,14 +32,14 @@
     slightly over capacity rejects a few entries and would be idle if all of
     them backed off. It applies to one incarnation of the target.
 
-    >>> board = BackoffTable(random.Random(1))
-    >>> board.add("i1", 7, 3.0, 10.0)
+    >>> table = BackoffTable(random.Random(1))
+    >>> table.add("i1", 7, 3.0, 10.0)
     True
-    >>> 0.0 < board.find_delay("i1", 7, 12.9) < 0.5
+    >>> 0.0 < table.find_delay("i1", 7, 12.9) < 0.5
     True
-    >>> board.find_delay("i1", 7, 13.5) is None
+    >>> table.find_delay("i1", 7, 13.5) is None
     True
-    >>> board.find_delay("i1", 8, 11.0) is None
+    >>> table.find_delay("i1", 8, 11.0) is None
     True
 
     :param rng: source of the jitter
--- a/packages/gateway/src/chivepier/gateway/limits/limittable.py
+++ b/packages/gateway/src/chivepier/gateway/limits/limittable.py
@@ -27,14 +27,14 @@
     request was sent. An answer without a limit therefore clears only a limit
     that its entry knew at that time.
 
-    >>> board = LimitTable("e1")
-    >>> board.observe("i1", 7, None, RateLimit(1.5), 0.0)
+    >>> table = LimitTable("e1")
+    >>> table.observe("i1", 7, None, RateLimit(1.5), 0.0)
     True
-    >>> board.find_rate("i1", 7)
+    >>> table.find_rate("i1", 7)
     1.5
-    >>> board.observe("i1", 7, None, NoLimit(), 0.1)
+    >>> table.observe("i1", 7, None, NoLimit(), 0.1)
     False
-    >>> board.observe("i1", 7, board.find("i1", 7), NoLimit(), 0.2)
+    >>> table.observe("i1", 7, table.find("i1", 7), NoLimit(), 0.2)
     True
 
     :ivar revision: number of changes so far; see :meth:`find_newer`
--- a/packages/gateway/src/chivepier/gateway/quarantine/__init__.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/__init__.py
@@ -17,13 +17,13 @@
 
 __all__ = [
     "Clearance",
+    "CrashDetector",
     "Ending",
     "Hold",
+    "Incarnation",
     "Ledger",
-    "Life",
-    "Loss",
-    "LossJudge",
-    "Orders",
+    "LostRequest",
+    "Overrides",
     "Quarantine",
     "Record",
     "digest_request",
--- a/packages/gateway/src/chivepier/gateway/quarantine/overrides.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/overrides.py
@@ -9,7 +9,7 @@
 
 
 def _check(
-    orders: "Overrides", field: attrs.Attribute, prefixes: tuple
+    overrides: "Overrides", field: attrs.Attribute, prefixes: tuple
 ) -> None:
     for prefix in prefixes:
         if not DIGEST_PREFIX.fullmatch(prefix):
@@ -21,8 +21,8 @@
 class Overrides:
     """Digest prefixes, as in log lines, that override the evidence.
 
-    >>> orders = Overrides(let_through=("0a1b0a1b",), keep_out=("ffffffff",))
-    >>> orders.allows("0a1b0a1b22"), orders.blocks("0a1b0a1b22")
+    >>> rules = Overrides(let_through=("0a1b0a1b",), keep_out=("ffffffff",))
+    >>> rules.allows("0a1b0a1b22"), rules.blocks("0a1b0a1b22")
     (True, False)
 
     :param let_through: requests that are sent regardless of the evidence
--- a/packages/gateway/src/chivepier/gateway/quarantine/recentanswers.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/recentanswers.py
@@ -9,9 +9,9 @@
 class RecentAnswers:
     """Bounded record of the requests that targets answered completely.
 
-    >>> memory = RecentAnswers()
-    >>> memory.add("d", 5.0)
-    >>> memory.find("d", 6.0), memory.find("d", 66.0)
+    >>> answers = RecentAnswers()
+    >>> answers.add("d", 5.0)
+    >>> answers.find("d", 6.0), answers.find("d", 66.0)
     (5.0, None)
     """
 
--- a/packages/gateway/src/chivepier/gateway/zones/__init__.py
+++ b/packages/gateway/src/chivepier/gateway/zones/__init__.py
@@ -9,7 +9,7 @@
 
 __all__ = [
     "Freshness",
-    "PRESUMED_SECONDS",
+    "PRESUMPTION_TTL_SECONDS",
     "ZoneOrder",
     "Zones",
     "pack_order",
