--- a/packages/gateway/src/chivepier/gateway/limits/records.py
+++ b/packages/gateway/src/chivepier/gateway/limits/records.py
@@ -1,45 +1,45 @@
-"""Words about limits as messages."""
+"""Conversion of rate limits to and from messages."""
 
 import collections.abc
 
-from chivepier.gateway.limits.limitword import LimitWord
+from chivepier.gateway.limits.versionedlimit import VersionedLimit
 from chivepier.gateway.messages import LimitRecord
 
-# Stands for no limit on the wire; rates are zero or more.
+# Encodes "no limit" on the wire; rates are zero or more.
 NO_LIMIT = -1.0
 
 
-def pack_words(
-    words: collections.abc.Iterable[LimitWord], now: float
+def pack_limits(
+    limits: collections.abc.Iterable[VersionedLimit], now: float
 ) -> tuple[LimitRecord, ...]:
-    """Turn words into messages.
+    """Convert limits to messages, with ages in place of times.
 
-    :param words: as this node believes them
-    :param now: this node's monotonic seconds
+    :param limits: limits that this node knows
+    :param now: current time in this node's monotonic seconds
     """
     return tuple(
         LimitRecord(
-            word.instance,
-            word.born,
-            word.version,
-            NO_LIMIT if word.rate is None else word.rate,
-            word.source,
-            max(0.0, now - word.seen),
+            limit.instance,
+            limit.born,
+            limit.version,
+            NO_LIMIT if limit.rate is None else limit.rate,
+            limit.source,
+            max(0.0, now - limit.seen),
         )
-        for word in words
+        for limit in limits
     )
 
 
-def unpack_words(
+def unpack_limits(
     records: collections.abc.Iterable[LimitRecord], now: float
-) -> list[LimitWord]:
-    """Build words of messages.
+) -> list[VersionedLimit]:
+    """Convert messages to limits, with times on this node's clock.
 
-    :param records: of another node
-    :param now: this node's monotonic seconds
+    :param records: messages from another node
+    :param now: current time in this node's monotonic seconds
     """
     return [
-        LimitWord(
+        VersionedLimit(
             instance=record.instance,
             born=record.born,
             version=record.version,
--- /dev/null
+++ b/packages/gateway/src/chivepier/gateway/quarantine/lostrequest.py
@@ -0,0 +1,30 @@
+"""A request whose connection broke or whose target stopped responding."""
+
+import attrs
+
+from chivepier.gateway.targets import Target
+
+
+@attrs.frozen(kw_only=True)
+class LostRequest:
+    """One failed attempt to run a request on a target.
+
+    :param id: request id of this attempt
+    :param digest: digest of the request, the same for each attempt
+    :param team: team of the caller
+    :param target: target that it was sent to
+    :param sent: when it was sent there, in monotonic seconds
+    :param begun: when its first event arrived, in monotonic seconds; ``None``
+        if none did
+    :param broke: whether the connection broke; otherwise it timed out
+    :param at: when the loss was noticed, in monotonic seconds
+    """
+
+    id: str
+    digest: str
+    team: str | None
+    target: Target
+    sent: float
+    begun: float | None
+    broke: bool
+    at: float
--- a/packages/gateway/src/chivepier/gateway/quarantine/quarantine.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/quarantine.py
@@ -1,52 +1,52 @@
-"""What one entry holds back, and what it learns of it."""
+"""The quarantine of one entry."""
 
 import collections.abc
 
 from chivepier.gateway.eventlog import EventLog
 from chivepier.gateway.metrics import Metrics
 from chivepier.gateway.quarantine.clearance import Clearance
+from chivepier.gateway.quarantine.crashdetector import CrashDetector
+from chivepier.gateway.quarantine.crashdetector import Probe
 from chivepier.gateway.quarantine.digest import shorten
 from chivepier.gateway.quarantine.ending import Ending
 from chivepier.gateway.quarantine.hold import Hold
+from chivepier.gateway.quarantine.incarnation import Incarnation
 from chivepier.gateway.quarantine.ledger import HOLD_SECONDS
 from chivepier.gateway.quarantine.ledger import Ledger
 from chivepier.gateway.quarantine.ledger import Record
-from chivepier.gateway.quarantine.life import Life
-from chivepier.gateway.quarantine.loss import Loss
-from chivepier.gateway.quarantine.lossjudge import LossJudge
-from chivepier.gateway.quarantine.lossjudge import Probe
-from chivepier.gateway.quarantine.orders import Orders
-from chivepier.gateway.quarantine.soundmemory import SoundMemory
-from chivepier.gateway.quarantine.verdict import MOST_ENDS
+from chivepier.gateway.quarantine.lostrequest import LostRequest
+from chivepier.gateway.quarantine.overrides import Overrides
+from chivepier.gateway.quarantine.recentanswers import RecentAnswers
+from chivepier.gateway.quarantine.suspects import MIN_ENDINGS
 from chivepier.gateway.targets import Target
 from chivepier.gateway.targets import TargetTable
 from chivepier.types import Clock
 
-# Seconds between two rounds of dropping what no longer counts.
-EXPIRE_SECONDS = 5.0
+# Interval between runs that drop expired records.
+EXPIRY_INTERVAL_SECONDS = 5.0
 
 Publish = collections.abc.Callable[[Record], None]
 Watcher = collections.abc.Callable[[str], None]
 
 
 class Quarantine:
-    """Holds back requests under which target after target has ended.
-
-    A request that ends each target that runs it takes all that runs there
-    along, comes again under a new id, and goes to another entry: teams that
-    have nothing to do with it lose their streams, over and over. So what ends
-    targets is remembered by what stays the same, and shared by all entries.
-
-    :ivar publish: tells the other entries what this one saw
-    :ivar watchers: are told of each request that is held back from now on
-
-    :param me: this entry's name
-    :param table: the targets
-    :param probe: looks whether a target lives
-    :param orders: what operators let through and keep out
-    :param clock: monotonic time
-    :param log: decisions
-    :param metrics: counts them
+    """Holds back requests that repeatedly end the targets that run them.
+
+    A request that ends each target that runs it interrupts all other streams
+    there, is retried under a new id and may reach another entry. Suspects are
+    therefore identified by a digest that retries do not change, and the
+    evidence is shared between entries.
+
+    :ivar publish: sends a record of this entry to the other entries
+    :ivar watchers: called with the digest of each request that becomes held
+
+    :param me: name of this entry
+    :param table: targets
+    :param probe: checks whether a target is alive
+    :param orders: operators' overrides
+    :param clock: monotonic clock
+    :param log: log of the decisions
+    :param metrics: counters of the decisions
     """
 
     def __init__(
@@ -54,13 +54,13 @@
         me: str,
         table: TargetTable,
         probe: Probe,
-        orders: Orders,
+        orders: Overrides,
         clock: Clock,
         log: EventLog,
         metrics: Metrics,
     ):
         self.ledger = Ledger()
-        self.judge = LossJudge(table, probe, self._report, clock)
+        self.detector = CrashDetector(table, probe, self._report_ending, clock)
         self.publish: Publish = lambda record: None
         self.watchers: list[Watcher] = []
         self._held: set[str] = set()
@@ -70,58 +70,58 @@
         self._clock = clock
         self._log = log
         self._metrics = metrics
-        self._sound = SoundMemory()
+        self._recent_answers = RecentAnswers()
 
     @property
     def idle(self) -> bool:
-        """Whether nothing at all is held back."""
+        """Whether no request can be held back."""
         return not self.ledger.suspects and not self.orders.keep_out
 
     def find_hold(self, digest: str) -> Hold | None:
-        """Tell whether a request must not be sent to targets, and why.
+        """Return the hold on a request that must not be sent to targets.
 
-        :param digest: the request's
-        :returns: the evidence, or nothing
+        :param digest: digest of the request
+        :returns: the hold with its evidence, or ``None``
         """
-        if self.orders.lets_through(digest):
+        if self.orders.allows(digest):
             return None
         now = self._clock.monotonic()
-        if self.orders.keeps_out(digest):
+        if self.orders.blocks(digest):
             return Hold(digest, (), now + HOLD_SECONDS)
         return self.ledger.find_hold(digest, now)
 
-    def note_loss(self, loss: Loss) -> None:
-        """Take that a target was lost under a request."""
-        self.judge.note(loss)
+    def note_loss(self, request: LostRequest) -> None:
+        """Check whether the target of a lost request has ended."""
+        self.detector.investigate(request)
 
-    async def settle(self, digest: str, target: Target) -> None:
-        """Wait for a moment until it is known why a request was lost.
+    async def wait_for_check(self, digest: str, target: Target) -> None:
+        """Wait briefly for the check of a lost request's target.
 
-        Only where one more end would hold it back: others are sent elsewhere
-        at once.
+        Waits only if one more ending would hold the request back; others are
+        retried elsewhere at once.
 
-        :param digest: the request's
-        :param target: where it was lost
+        :param digest: digest of the request
+        :param target: target at which it was lost
         """
-        if len(self.ledger.find_endings(digest)) >= MOST_ENDS - 1:
-            await self.judge.settle(target)
+        if len(self.ledger.find_endings(digest)) >= MIN_ENDINGS - 1:
+            await self.detector.wait_for_probe(target)
 
     def note_answered(self, digest: str) -> None:
-        """Take that a target answered a request whole: it lives on.
+        """Record that a target answered a request completely.
 
-        :param digest: the request's
+        :param digest: digest of the request
         """
         now = self._clock.monotonic()
-        self._sound.note(digest, now)
-        if self.ledger.knows(digest):
+        self._recent_answers.add(digest, now)
+        if self.ledger.has_endings(digest):
             self._clear(digest, now)
 
     def note_refused(self, identity: str, team: str, hold: Hold) -> None:
-        """Note that a request was turned away.
+        """Log and count a refused request.
 
-        :param identity: its id
-        :param team: whose it is
-        :param hold: why
+        :param identity: id of the request
+        :param team: team of the caller
+        :param hold: hold for which it was refused
         """
         now = self._clock.monotonic()
         self._metrics.note_quarantine("refused")
@@ -133,8 +133,8 @@
             until_s=round(hold.until - now),
             ends=[
                 {
-                    "target": ending.life.instance,
-                    "born": ending.life.born,
+                    "target": ending.incarnation.instance,
+                    "born": ending.incarnation.born,
                     "age_s": round(now - ending.seen, 1),
                     "source": ending.source,
                     "how": ending.how,
@@ -143,54 +143,56 @@
             ],
         )
 
-    def take(self, records: collections.abc.Iterable[Record]) -> None:
-        """Take what others saw."""
+    def merge(self, records: collections.abc.Iterable[Record]) -> None:
+        """Merge records from other entries."""
         now = self._clock.monotonic()
         for record in records:
             if not self._add(record):
                 continue
             match record:
-                case Ending(digest=digest, life=life, seen=seen):
-                    self.judge.note_ended(life, seen, "told")
-                    if self._sound.recall(digest, now) is not None:
-                        self._clear(digest, self._sound.recall(digest, now))
+                case Ending(digest=digest, incarnation=incarnation, seen=seen):
+                    self.detector.note_ended(incarnation, seen, "told")
+                    if self._recent_answers.find(digest, now) is not None:
+                        self._clear(
+                            digest, self._recent_answers.find(digest, now)
+                        )
 
     def expire(self) -> None:
-        """Drop what no longer counts."""
+        """Drop expired records."""
         now = self._clock.monotonic()
-        if now - self._expired_at < EXPIRE_SECONDS:
+        if now - self._expired_at < EXPIRY_INTERVAL_SECONDS:
             return
         self._expired_at = now
         self.ledger.expire(now)
-        self._note_held("time")
+        self._update_held("time")
 
-    def _report(self, loss: Loss, how: str) -> None:
-        """Take that a target has ended under a request of this entry."""
-        sound = self._sound.recall(loss.digest, loss.at)
-        if sound is not None:
-            # its copies are at many targets, and were answered by others
+    def _report_ending(self, request: LostRequest, how: str) -> None:
+        """Record that a target has ended under a request of this entry."""
+        answered_at = self._recent_answers.find(request.digest, request.at)
+        if answered_at is not None:
+            # copies of it run on many targets, and others answered them
             self._log.info(
                 "ending_passed_over",
-                id=loss.id,
-                digest=shorten(loss.digest),
-                target=loss.target.instance,
-                answered_s=round(loss.at - sound, 1),
+                id=request.id,
+                digest=shorten(request.digest),
+                target=request.target.instance,
+                answered_s=round(request.at - answered_at, 1),
             )
             return
-        life = Life.of(loss.target)
-        ending = Ending(loss.digest, life, loss.at, self._me, how)
+        incarnation = Incarnation.of(request.target)
+        ending = Ending(request.digest, incarnation, request.at, self._me, how)
         if not self._add(ending):
             return
         self._metrics.note_quarantine("suspected")
         self._log.warn(
             "target_ended_under",
-            id=loss.id,
-            digest=shorten(loss.digest),
-            team=loss.team,
-            target=life.instance,
-            born=life.born,
+            id=request.id,
+            digest=shorten(request.digest),
+            team=request.team,
+            target=incarnation.instance,
+            born=incarnation.born,
             how=how,
-            ends=len(self.ledger.find_endings(loss.digest)),
+            ends=len(self.ledger.find_endings(request.digest)),
         )
         self.publish(ending)
 
@@ -202,12 +204,12 @@
             self.publish(clearance)
 
     def _add(self, record: Record) -> bool:
-        news = self.ledger.add(record)
-        if news:
-            self._note_held(type(record).__name__.lower())
-        return news
+        added = self.ledger.add(record)
+        if added:
+            self._update_held(type(record).__name__.lower())
+        return added
 
-    def _note_held(self, reason: str) -> None:
+    def _update_held(self, reason: str) -> None:
         before = self._held
         self._held = held = self.ledger.find_held(self._clock.monotonic())
         for digest in held - before:
--- a/packages/gateway/src/chivepier/gateway/quarantine/records.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/records.py
@@ -1,4 +1,4 @@
-"""What is known of requests that end targets, as messages."""
+"""Conversion of quarantine records to and from messages."""
 
 import collections.abc
 
@@ -7,26 +7,33 @@
 from chivepier.gateway.messages import QuarantineNotice
 from chivepier.gateway.quarantine.clearance import Clearance
 from chivepier.gateway.quarantine.ending import Ending
+from chivepier.gateway.quarantine.incarnation import Incarnation
 from chivepier.gateway.quarantine.ledger import Record
-from chivepier.gateway.quarantine.life import Life
 
 
 def pack_records(
     records: collections.abc.Iterable[Record], now: float
 ) -> QuarantineNotice:
-    """Turn records into a message, with ages in place of times.
+    """Convert records to a message, with ages in place of times.
 
-    :param records: ends and answers
-    :param now: this node's monotonic seconds
+    :param records: endings and clearances
+    :param now: current time in this node's monotonic seconds
     """
     endings, clearances = [], []
     for record in records:
         age = max(0.0, now - record.seen)
         match record:
-            case Ending(digest=digest, life=life, source=source, how=how):
+            case Ending(
+                digest=digest, incarnation=incarnation, source=source, how=how
+            ):
                 endings.append(
                     EndingRecord(
-                        digest, life.instance, life.born, age, source, how
+                        digest,
+                        incarnation.instance,
+                        incarnation.born,
+                        age,
+                        source,
+                        how,
                     )
                 )
             case Clearance(digest=digest, source=source):
@@ -35,16 +42,16 @@
 
 
 def unpack_records(notice: QuarantineNotice, now: float) -> list[Record]:
-    """Build records of a message.
+    """Convert a message to records.
 
-    :param notice: the message
-    :param now: this node's monotonic seconds
-    :returns: ends and answers, with times on this node's clock
+    :param notice: message from another node
+    :param now: current time in this node's monotonic seconds
+    :returns: endings and clearances, with times on this node's clock
     """
     endings = [
         Ending(
             record.digest,
-            Life(record.instance, record.born),
+            Incarnation(record.instance, record.born),
             now - record.age,
             record.source,
             record.how,
--- a/packages/gateway/src/chivepier/gateway/zones/__init__.py
+++ b/packages/gateway/src/chivepier/gateway/zones/__init__.py
@@ -1,15 +1,15 @@
-"""What operators and settings say of availability zones."""
+"""Availability zones: their regions and evacuation orders."""
 
 from chivepier.gateway.zones.freshness import Freshness
 from chivepier.gateway.zones.records import pack_order
 from chivepier.gateway.zones.records import unpack_order
 from chivepier.gateway.zones.zoneorder import ZoneOrder
-from chivepier.gateway.zones.zones import PRESUMED_SECONDS
+from chivepier.gateway.zones.zones import PRESUMPTION_TTL_SECONDS
 from chivepier.gateway.zones.zones import Zones
 
 __all__ = [
     "Freshness",
-    "PRESUMED_SECONDS",
+    "PRESUMPTION_TTL_SECONDS",
     "ZoneOrder",
     "Zones",
     "pack_order",
