--- a/packages/gateway/benchmarks/coldways.py
+++ b/packages/gateway/benchmarks/coldways.py
@@ -18,7 +18,7 @@
 import attrs
 
 from chivepier.gateway.permits import ColdBound
-from chivepier.gateway.permits import PermitLedger
+from chivepier.gateway.permits import SlidingWindowLimiter
 
 ENTRIES = 75
 RATE = 31.0
@@ -83,9 +83,9 @@
 
 def ask_leader(requests: list[Request], known: list[int]) -> list[float]:
     """Ask for leave for each send, as the code that serves does."""
-    ledger = PermitLedger()
-    most = BOUND.count(RATE)
-    return [r.at for r in requests if ledger.grant("cold", most, r.at)]
+    ledger = SlidingWindowLimiter()
+    most = BOUND.get_max_sends(RATE)
+    return [r.at for r in requests if ledger.acquire("cold", most, r.at)]
 
 
 WAYS = {
@@ -140,7 +140,7 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--check", action="store_true")
     check = parser.parse_args().check
-    most = BOUND.count(RATE)
+    most = BOUND.get_max_sends(RATE)
     print(f"bound {most} in a second, {WANTED:.0f} wanted, {ENTRIES} entries")
     worst = 0
     for name, way in WAYS.items():
--- a/packages/gateway/benchmarks/limitways.py
+++ b/packages/gateway/benchmarks/limitways.py
@@ -14,8 +14,8 @@
 import attrs
 
 from chivepier.gateway.permits import Claim
-from chivepier.gateway.permits import OwnPart
-from chivepier.gateway.permits import Turns
+from chivepier.gateway.permits import FairScheduler
+from chivepier.gateway.permits import FallbackLimiter
 
 RATE = 1.5
 # Requests a second that want the target.
@@ -43,25 +43,27 @@
 
 def keep_alone(requests: list[Request], entries: int) -> list[float]:
     """Let each entry keep to the rate by itself."""
-    parts = [OwnPart(random.Random(n)) for n in range(entries)]
+    parts = [FallbackLimiter(random.Random(n)) for n in range(entries)]
     for part in parts:
-        part.begin(1)
+        part.reset(1)
     return _claim(requests, parts)
 
 
 def share_equally(requests: list[Request], entries: int) -> list[float]:
     """Give each entry an equal part, as serves without a leader."""
-    parts = [OwnPart(random.Random(n)) for n in range(entries)]
+    parts = [FallbackLimiter(random.Random(n)) for n in range(entries)]
     for part in parts:
-        part.begin(entries)
+        part.reset(entries)
     return _claim(requests, parts)
 
 
-def _claim(requests: list[Request], parts: list[OwnPart]) -> list[float]:
+def _claim(
+    requests: list[Request], parts: list[FallbackLimiter]
+) -> list[float]:
     return [
         r.at
         for r in requests
-        if parts[r.entry].claim("i1", RATE, Claim(), r.at).granted
+        if parts[r.entry].acquire("i1", RATE, Claim(), r.at).granted
     ]
 
 
@@ -92,13 +94,13 @@
 
 def ask_leader(requests: list[Request], entries: int) -> list[float]:
     """Ask for a turn for each send, as the code that serves does."""
-    turns, claim = Turns(random.Random(1)), Claim(patience=0.06)
+    turns, claim = FairScheduler(random.Random(1)), Claim(patience=0.06)
     pauses: dict[int, float] = {}
     sent = []
     for request in requests:
         if request.at < pauses.get(request.entry, 0.0):
             continue
-        turn = turns.claim("i1", RATE, claim, request.at, -10.0)
+        turn = turns.acquire("i1", RATE, claim, request.at, -10.0)
         if turn.granted:
             sent.append(request.at + turn.wait)
         else:
--- a/packages/gateway/src/chivepier/gateway/control/loadledger.py
+++ b/packages/gateway/src/chivepier/gateway/control/loadledger.py
@@ -8,7 +8,7 @@
 from chivepier.gateway.messages import LoadRecord
 from chivepier.gateway.messages import QueueRecord
 from chivepier.gateway.messages import RepeatRecord
-from chivepier.gateway.targets import EXPIRY
+from chivepier.gateway.targets import REPORT_EXPIRY_SECONDS
 
 # What adds up over entries; turns to copy memory are told by entry.
 SUMMED = ("runs", "tokens", "reading", "receiving", "avoiding")
@@ -55,7 +55,7 @@
     def expire(self, now: float) -> None:
         """Forget entries that have long been silent."""
         for entry, heard in list(self._heard.items()):
-            if now - heard >= EXPIRY:
+            if now - heard >= REPORT_EXPIRY_SECONDS:
                 self.drop(entry)
 
     def take_changes(self) -> tuple[LoadState, LoadState]:
--- a/packages/gateway/src/chivepier/gateway/control/permithub.py
+++ b/packages/gateway/src/chivepier/gateway/control/permithub.py
@@ -7,11 +7,11 @@
 from chivepier.gateway.messages import PermitAnswer
 from chivepier.gateway.messages import PermitRequest
 from chivepier.gateway.permits import Claim
-from chivepier.gateway.permits import MOST_PERMIT_SECONDS
-from chivepier.gateway.permits import MOST_WINDOW_SECONDS
-from chivepier.gateway.permits import PermitLedger
-from chivepier.gateway.permits import Turn
-from chivepier.gateway.permits import Turns
+from chivepier.gateway.permits import FairScheduler
+from chivepier.gateway.permits import MAX_PERMIT_SECONDS
+from chivepier.gateway.permits import MAX_WINDOW_SECONDS
+from chivepier.gateway.permits import SendDecision
+from chivepier.gateway.permits import SlidingWindowLimiter
 from chivepier.types import Clock
 from chivepier.wire import LinkError
 
@@ -41,8 +41,8 @@
         self._leader = leader
         self._clock = clock
         self._log = log
-        self._ledger = PermitLedger()
-        self._turns = Turns(rng)
+        self._ledger = SlidingWindowLimiter()
+        self._turns = FairScheduler(rng)
 
     async def handle(self, request: PermitRequest) -> PermitAnswer:
         """Answer an entry, or another voter as the leader.
@@ -51,7 +51,7 @@
         """
         try:
             return await self._leader.ask(
-                request, min(request.lapse, MOST_PERMIT_SECONDS), self._grant
+                request, min(request.lapse, MAX_PERMIT_SECONDS), self._grant
             )
         except (LinkError, TimeoutError) as error:
             # an answer that comes later is of no use to who asked
@@ -65,26 +65,26 @@
         if since is None:
             return PermitAnswer(False, led=False)
         now = self._clock.monotonic()
-        if request.most and now - since < MOST_WINDOW_SECONDS:
+        if request.most and now - since < MAX_WINDOW_SECONDS:
             return PermitAnswer(False)
         turn = self._find_turn(request, now, since)
         if not turn.granted:
             return PermitAnswer(False, turn.wait)
-        if request.most and not self._ledger.grant(
+        if request.most and not self._ledger.acquire(
             request.instance,
             request.most,
             now,
-            min(request.lapse, MOST_PERMIT_SECONDS),
+            min(request.lapse, MAX_PERMIT_SECONDS),
         ):
             return PermitAnswer(False)
         return PermitAnswer(True, turn.wait)
 
     def _find_turn(
         self, request: PermitRequest, now: float, since: float
-    ) -> Turn:
+    ) -> SendDecision:
         if request.rate < 0:
-            return Turn(True, 0.0)
+            return SendDecision(True, 0.0)
         claim = Claim(request.team, request.urgency, request.patience)
-        return self._turns.claim(
+        return self._turns.acquire(
             request.instance, request.rate, claim, now, since
         )
--- a/packages/gateway/src/chivepier/gateway/control/registry.py
+++ b/packages/gateway/src/chivepier/gateway/control/registry.py
@@ -80,7 +80,7 @@
         :param born: start of the life that leaves
         """
         now = self._clock.monotonic()
-        if not self._table.note_leaving(instance, born, now):
+        if not self._table.mark_leaving(instance, born, now):
             return
         known = self._table.get(instance)
         if known is None or known.born != born:
@@ -120,7 +120,9 @@
         apart, so the next words all go to the entries.
         """
         at = self._table.zones.find_readmitted(target.zone)
-        return at is not None and 0 <= target.said - at < AWAITED_SECONDS
+        return (
+            at is not None and 0 <= target.announced_at - at < AWAITED_SECONDS
+        )
 
     def leave(self, instance: str, born: int | None = None) -> None:
         """Take a target's word that it ends.
@@ -216,7 +218,7 @@
 
     def forget(self) -> None:
         """Drop targets that have long been silent."""
-        self._table.forget(self._clock.monotonic())
+        self._table.expire(self._clock.monotonic())
         for instance in list(self._revisions):
             if self._table.get(instance) is None:
                 del self._revisions[instance]
--- a/packages/gateway/src/chivepier/gateway/control/tests/fleet.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/fleet.py
@@ -21,18 +21,18 @@
 from chivepier.gateway.messages import PermitRequest
 from chivepier.gateway.metrics import Metrics
 from chivepier.gateway.permits import ColdBound
-from chivepier.gateway.permits import OwnPart
-from chivepier.gateway.permits import Permits
+from chivepier.gateway.permits import FallbackLimiter
+from chivepier.gateway.permits import SendLimiter
 from chivepier.gateway.quarantine import Loss
 from chivepier.gateway.quarantine import Orders
 from chivepier.gateway.quarantine import Quarantine
 from chivepier.gateway.serving import RetryBudget
 from chivepier.gateway.serving import ServingState
 from chivepier.gateway.settings import VoterSettings
-from chivepier.gateway.targets import Leavers
+from chivepier.gateway.targets import LeavingTargets
 from chivepier.gateway.targets import Liveness
-from chivepier.gateway.targets import LoadBoard
-from chivepier.gateway.targets import QueueBoard
+from chivepier.gateway.targets import LoadTracker
+from chivepier.gateway.targets import QueueTracker
 from chivepier.gateway.targets import Target
 from chivepier.gateway.targets import TargetState
 from chivepier.gateway.targets import TargetTable
@@ -69,9 +69,9 @@
         self.state = ServingState()
         self.zones = Zones()
         self.table = TargetTable(1.0, self.zones)
-        self.leavers = Leavers(self.table)
-        self.board = LoadBoard(name)
-        self.queues = QueueBoard(name, self.board.changed)
+        self.leavers = LeavingTargets(self.table)
+        self.board = LoadTracker(name)
+        self.queues = QueueTracker(name, self.board.changed)
         self.budget = RetryBudget(0.2, 100, 10, name)
         self.quarantine = Quarantine(
             name,
@@ -84,12 +84,12 @@
         )
         self.freshness = Freshness(clock)
         self.limits = LimitBoard(name)
-        self.permits = Permits(
+        self.permits = SendLimiter(
             zones=self.zones,
             limits=self.limits,
             bound=ColdBound(),
             ask=self._ask_permit,
-            own=OwnPart(random.Random(name)),
+            own=FallbackLimiter(random.Random(name)),
             count_entries=lambda: self.state.entries,
             clock=clock,
             log=log,
@@ -215,7 +215,7 @@
 
     def tokens(self, instance: str) -> int:
         """Count the memory that all entries take at a target."""
-        return self.board.total(instance, 0.0).tokens
+        return self.board.get_total(instance, 0.0).tokens
 
     async def __aenter__(self) -> "Follower":
         await self._stack.enter_async_context(self.links)
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_avoidance.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_avoidance.py
@@ -4,7 +4,7 @@
 
 from chivepier.gateway.control.tests.fleet import play
 from chivepier.gateway.control.tests.fleet import wait_until
-from chivepier.gateway.targets import Chooser
+from chivepier.gateway.targets import LoadBalancer
 from chivepier.gateway.targets import TargetHealth
 from chivepier.gateway.targets.tests.test_targettable import make
 from chivepier.standins.loopclock import LoopClock
@@ -22,7 +22,7 @@
         clock = LoopClock()
         for name in TARGETS:
             follower.table.put(make(name, heard=tell_time() + 60.0))
-        self.chooser = Chooser(
+        self.chooser = LoadBalancer(
             follower.table,
             TargetHealth(),
             follower.board,
@@ -36,7 +36,7 @@
         target = self.chooser.choose("s", None, None)
         if target.instance != "dead":
             return False
-        self.chooser.avoid(target.instance)
+        self.chooser.avoid_unreachable(target.instance)
         return True
 
     def count_avoiding(self) -> int:
@@ -77,7 +77,7 @@
         callers = [Caller(f, n) for n, f in enumerate(followers)]
         for cut in callers[:4]:
             for name in TARGETS:
-                cut.chooser.avoid(name)
+                cut.chooser.avoid_unreachable(name)
         last = callers[4]
         await wait_until(lambda: last.count_avoiding() == 4)
         ranked = last.chooser.rank("s", None, None)
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_followers.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_followers.py
@@ -34,8 +34,8 @@
         second.registry.announce(
             make("i1", number=2, state=TargetState.LEAVING, heard=now)
         )
-        await wait_until(lambda: follower.table.leaves("i1"))
-        await wait_until(lambda: third.table.leaves("i1"))
+        await wait_until(lambda: follower.table.is_leaving("i1"))
+        await wait_until(lambda: third.table.is_leaving("i1"))
         third.registry.leave("i1")
         await wait_until(
             lambda: follower.table.get("i1").state is TargetState.GONE
@@ -75,9 +75,9 @@
             make("i1", number=2, state=TargetState.LEAVING, heard=now)
         )
         await fleet.write(6)
-        assert not follower.table.leaves("i1")
+        assert not follower.table.is_leaving("i1")
         faults.cut.clear()
-        await wait_until(lambda: follower.table.leaves("i1"))
+        await wait_until(lambda: follower.table.is_leaving("i1"))
         await wait_until(
             lambda: follower.state.index and follower.state.index.version == 6
         )
@@ -111,13 +111,13 @@
         one, two = await fleet.follow("e1"), await fleet.follow("e2")
         voters = fleet.voters.values()
         await wait_until(lambda: all(v.entries.count() == 2 for v in voters))
-        one.board.change("i1", runs=1, tokens=500, reading=400)
-        await wait_until(lambda: two.board.total("i1", 0.0).tokens == 500)
-        own = two.board.total("i1", 0.0)
+        one.board.adjust_own("i1", runs=1, tokens=500, reading=400)
+        await wait_until(lambda: two.board.get_total("i1", 0.0).tokens == 500)
+        own = two.board.get_total("i1", 0.0)
         assert (own.runs, own.reading) == (1, 400)
-        one.board.change("i1", runs=-1, tokens=-500, reading=-400)
-        await wait_until(lambda: two.board.total("i1", 0.0).runs == 0)
-        assert LoadRecord("e1", "i1", 0, 0, 0, 0) not in one.board.own()
+        one.board.adjust_own("i1", runs=-1, tokens=-500, reading=-400)
+        await wait_until(lambda: two.board.get_total("i1", 0.0).runs == 0)
+        assert LoadRecord("e1", "i1", 0, 0, 0, 0) not in one.board.list_own()
 
     play(test, tmp_path)
 
@@ -132,13 +132,13 @@
         ]
         hubs = [fleet.seeds[int(zone[1])] for zone in zones]
         await wait_until(lambda: [f.hub for f in followers] == hubs)
-        followers[0].board.change("i1", runs=1, tokens=500, reading=400)
-        followers[1].board.change("i1", runs=1, tokens=300)
+        followers[0].board.adjust_own("i1", runs=1, tokens=500, reading=400)
+        followers[1].board.adjust_own("i1", runs=1, tokens=300)
         for follower in followers:
             await wait_until(lambda: follower.tokens("i1") == 800)
-        told = set(followers[3].board._shares["i1"])
+        told = set(followers[3].board._loads["i1"])
         assert told == {fleet.seeds[0]}
-        followers[0].board.change("i1", runs=-1, tokens=-500, reading=-400)
+        followers[0].board.adjust_own("i1", runs=-1, tokens=-500, reading=-400)
         for follower in followers:
             await wait_until(lambda: follower.tokens("i1") == 300)
 
@@ -151,12 +151,12 @@
     async def test(fleet):
         one = await fleet.follow("e1", "z0")
         two = await fleet.follow("e2", "z1")
-        one.board.change("i1", runs=1, tokens=500)
-        one.board.take_turn("i1", 250)
-        await wait_until(lambda: two.board.before("i1", 0.0) == 250)
+        one.board.adjust_own("i1", runs=1, tokens=500)
+        one.board.set_copy_time("i1", 250)
+        await wait_until(lambda: two.board.get_copy_wait_ms("i1", 0.0) == 250)
         assert two.tokens("i1") == 500
-        one.board.take_turn("i1", 0)
-        await wait_until(lambda: two.board.before("i1", 0.0) == 0)
+        one.board.set_copy_time("i1", 0)
+        await wait_until(lambda: two.board.get_copy_wait_ms("i1", 0.0) == 0)
         assert two.tokens("i1") == 500
 
     play(test, tmp_path)
@@ -169,9 +169,9 @@
         far = await fleet.follow("e3", "z2")
         one.queues.enter("llm", 1)
         two.queues.enter("llm", 1)
-        await wait_until(lambda: far.queues.ahead("llm", 2, 0.0) == 2)
+        await wait_until(lambda: far.queues.count_ahead("llm", 2, 0.0) == 2)
         one.queues.leave("llm", 1)
-        await wait_until(lambda: far.queues.ahead("llm", 2, 0.0) == 1)
+        await wait_until(lambda: far.queues.count_ahead("llm", 2, 0.0) == 1)
 
     play(test, tmp_path)
 
@@ -183,8 +183,8 @@
         one = await fleet.follow("e1", "z0")
         two = await fleet.follow("e2", "z1")
         await wait_until(lambda: one.hub == fleet.seeds[0])
-        one.board.change("i1", runs=1, tokens=500)
-        two.board.change("i1", runs=1, tokens=200)
+        one.board.adjust_own("i1", runs=1, tokens=500)
+        two.board.adjust_own("i1", runs=1, tokens=200)
         await wait_until(lambda: one.tokens("i1") == 700)
         await fleet.stop(fleet.seeds[0])
         await wait_until(lambda: one.hub in fleet.seeds[1:])
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_late.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_late.py
@@ -69,7 +69,7 @@
     async def test(fleet, followers):
         await announce(fleet, followers, "i1")
         for follower in followers:
-            follower.board.change("i1", tokens=100)
+            follower.board.adjust_own("i1", tokens=100)
         everything = 100 * len(followers)
         await wait_until(
             lambda: all(f.tokens("i1") == everything for f in followers)
@@ -94,11 +94,11 @@
         await announce(fleet, followers, "i1")
         await announce(fleet, followers, "i2")
         told, now = followers[-1], tell_time()
-        told.leavers.note(told.table.get("i1"), now)
+        told.leavers.record(told.table.get("i1"), now)
         known = told.limits.find("i2", 0)
         told.limits.note("i2", 0, known, RateLimit(2.5), now)
         for follower in followers:
-            await wait_until(lambda f=follower: f.table.leaves("i1"))
+            await wait_until(lambda f=follower: f.table.is_leaving("i1"))
             await wait_until(
                 lambda f=follower: f.limits.find_rate("i2", 0) == 2.5
             )
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_leaving.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_leaving.py
@@ -10,7 +10,7 @@
 
 def all_know(nodes, name: str = "i1") -> bool:
     """Tell whether every entry, or voter, knows that a target leaves."""
-    return all(node.table.leaves(name) for node in nodes)
+    return all(node.table.is_leaving(name) for node in nodes)
 
 
 @pytest.mark.parametrize("entries", (1, 7, 75))
@@ -22,7 +22,7 @@
         for follower in followers:
             await wait_until(lambda f=follower: f.table.get("i1"))
         told = followers[-1]
-        told.leavers.note(told.table.get("i1"), tell_time())
+        told.leavers.record(told.table.get("i1"), tell_time())
         await wait_until(lambda: all_know(followers))
         await wait_until(lambda: all_know(voters))
         # what the target announces still says that it is ready
@@ -46,7 +46,7 @@
         told, *others = followers
         for follower in others:
             follower.stop_beats()
-        told.leavers.note(told.table.get("i1"), tell_time())
+        told.leavers.record(told.table.get("i1"), tell_time())
         await wait_until(lambda: all_know(others))
 
     play(test, tmp_path)
@@ -61,7 +61,7 @@
         await wait_until(lambda: told.table.get("i1"))
         for known in told.following._voters.values():
             await wait_until(lambda k=known: k.epoch)
-        told.leavers.note(told.table.get("i1"), tell_time())
+        told.leavers.record(told.table.get("i1"), tell_time())
         known = told.following._voters
         await wait_until(lambda: all(v.leavers for v in known.values()))
         before = {a: v.epoch for a, v in known.items()}
@@ -69,7 +69,7 @@
         await fleet.start(address)
         await wait_until(lambda: known[address].epoch != before[address])
         await wait_until(lambda: known[address].leavers)
-        assert fleet.voters[address].table.leaves("i1")
+        assert fleet.voters[address].table.is_leaving("i1")
 
     play(test, tmp_path)
 
@@ -83,9 +83,9 @@
             await wait_until(lambda f=follower: f.table.get("i1"))
         told, beat = followers[0], followers[0].following._beat
         told.stop_beats()
-        told.leavers.note(told.table.get("i1"), tell_time())
-        await wait_until(lambda: told.table.leaves("i1"))
-        assert not followers[1].table.leaves("i1")
+        told.leavers.record(told.table.get("i1"), tell_time())
+        await wait_until(lambda: told.table.is_leaving("i1"))
+        assert not followers[1].table.is_leaving("i1")
         told.following._beat = beat
         await wait_until(lambda: all_know(followers))
 
@@ -98,11 +98,11 @@
         await wait_until(lambda: follower.hub is not None)
         target = make("i1", heard=tell_time())
         follower.table.put(make("i1", heard=tell_time()))
-        follower.leavers.note(target, tell_time())
+        follower.leavers.record(target, tell_time())
         voters = list(fleet.voters.values())
         for voter in voters:
             await wait_until(lambda v=voter: ("i1", 0) in v.table._leaving)
         voters[0].registry.announce(target)
-        await wait_until(lambda: voters[1].table.leaves("i1"))
+        await wait_until(lambda: voters[1].table.is_leaving("i1"))
 
     play(test, tmp_path)
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_permithub.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_permithub.py
@@ -15,8 +15,8 @@
 from chivepier.gateway.eventlog import EventLog
 from chivepier.gateway.messages import PermitRequest
 from chivepier.gateway.permits import Claim
-from chivepier.gateway.permits import MOST_WINDOW_SECONDS
-from chivepier.gateway.permits import PermitLedger
+from chivepier.gateway.permits import MAX_WINDOW_SECONDS
+from chivepier.gateway.permits import SlidingWindowLimiter
 from chivepier.gateway.permits import WINDOW_SECONDS
 from chivepier.gateway.targets import Target
 from chivepier.gateway.targets import TargetState
@@ -54,10 +54,10 @@
     async def send(self, follower, target: Target) -> bool:
         """Take leave for one send."""
         began = tell_time()
-        permit = await follower.permits.take(SERVICE, target, Claim())
+        permit = await follower.permits.acquire(SERVICE, target, Claim())
         if permit is None:
             return False
-        self.moments.append((began, permit.until))
+        self.moments.append((began, permit.expires_at))
         return True
 
     def check_bound(self) -> None:
@@ -179,8 +179,8 @@
     (
         (None, False),
         (10.0, False),
-        (10.1 - MOST_WINDOW_SECONDS, False),
-        (10.0 - MOST_WINDOW_SECONDS, True),
+        (10.1 - MAX_WINDOW_SECONDS, False),
+        (10.0 - MAX_WINDOW_SECONDS, True),
     ),
 )
 def test_leader_permits_nothing_while_the_last_ones_permits_count(
@@ -195,11 +195,11 @@
 
 
 def test_ledger_counts_the_window_and_forgets_targets():
-    ledger = PermitLedger()
-    granted = [ledger.grant("i1", 3, 0.1 * n) for n in range(5)]
+    ledger = SlidingWindowLimiter()
+    granted = [ledger.acquire("i1", 3, 0.1 * n) for n in range(5)]
     assert granted == [True, True, True, False, False]
-    assert ledger.grant("i2", 1, 0.5)
-    assert not ledger.grant("i1", 3, WINDOW_SECONDS - 0.01)
-    assert ledger.grant("i1", 3, WINDOW_SECONDS + 0.01)
-    ledger.grant("i3", 1, 60.0)
+    assert ledger.acquire("i2", 1, 0.5)
+    assert not ledger.acquire("i1", 3, WINDOW_SECONDS - 0.01)
+    assert ledger.acquire("i1", 3, WINDOW_SECONDS + 0.01)
+    ledger.acquire("i3", 1, 60.0)
     assert ledger.count_targets() == 1
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_words.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_words.py
@@ -15,7 +15,7 @@
 
 def note_leaving(told: Follower, name: str) -> None:
     """Let a target's answer to an entry say that it leaves."""
-    told.leavers.note(told.table.get(name), tell_time())
+    told.leavers.record(told.table.get(name), tell_time())
 
 
 def note_limit(told: Follower, name: str) -> None:
@@ -32,7 +32,7 @@
 @pytest.mark.parametrize(
     ("note", "knows"),
     (
-        (note_leaving, lambda node, name: node.table.leaves(name)),
+        (note_leaving, lambda node, name: node.table.is_leaving(name)),
         (note_limit, lambda node, name: node.limits.find_rate(name, 0)),
         (
             note_loss,
--- a/packages/gateway/src/chivepier/gateway/entry/entry.py
+++ b/packages/gateway/src/chivepier/gateway/entry/entry.py
@@ -18,8 +18,8 @@
 from chivepier.gateway.messages import PermitRequest
 from chivepier.gateway.metrics import Metrics
 from chivepier.gateway.permits import ColdBound
-from chivepier.gateway.permits import OwnPart
-from chivepier.gateway.permits import Permits
+from chivepier.gateway.permits import FallbackLimiter
+from chivepier.gateway.permits import SendLimiter
 from chivepier.gateway.quarantine import Quarantine
 from chivepier.gateway.serving import BodyRoom
 from chivepier.gateway.serving import Dispatcher
@@ -35,10 +35,10 @@
 from chivepier.gateway.serving import TargetCalls
 from chivepier.gateway.serving import TargetPort
 from chivepier.gateway.settings import EntrySettings
-from chivepier.gateway.targets import Chooser
-from chivepier.gateway.targets import Leavers
-from chivepier.gateway.targets import LoadBoard
-from chivepier.gateway.targets import QueueBoard
+from chivepier.gateway.targets import LeavingTargets
+from chivepier.gateway.targets import LoadBalancer
+from chivepier.gateway.targets import LoadTracker
+from chivepier.gateway.targets import QueueTracker
 from chivepier.gateway.targets import Target
 from chivepier.gateway.targets import TargetHealth
 from chivepier.gateway.targets import TargetState
@@ -94,12 +94,12 @@
         self.zones.watchers.append(self._note_order)
         self.table = TargetTable(settings.beat, self.zones)
         self.health = TargetHealth()
-        self.board = LoadBoard(settings.name)
-        self.queues = QueueBoard(settings.name, self.board.changed)
+        self.board = LoadTracker(settings.name)
+        self.queues = QueueTracker(settings.name, self.board.changed)
         self.limits = LimitBoard(settings.name)
         self.limits.watchers.append(self._note_limit)
         self.rests = RestBoard(rng)
-        chooser = Chooser(
+        chooser = LoadBalancer(
             self.table,
             self.health,
             self.board,
@@ -110,12 +110,12 @@
             self.rests,
         )
         freshness = Freshness(clock)
-        permits = Permits(
+        permits = SendLimiter(
             zones=self.zones,
             limits=self.limits,
             bound=ColdBound(settings.cold_excess, settings.cold_slack),
             ask=self._ask_permit,
-            own=OwnPart(rng),
+            own=FallbackLimiter(rng),
             count_entries=lambda: self.state.entries,
             clock=clock,
             log=log,
@@ -130,7 +130,7 @@
             clock,
             self.metrics,
         )
-        leavers = Leavers(self.table)
+        leavers = LeavingTargets(self.table)
         remarks = Remarks(
             self.limits,
             self.rests,
@@ -266,7 +266,7 @@
             self.rests.forget(target.instance, target.born)
 
     def _forget(self, target: Target) -> None:
-        self.board.forget(target.instance)
+        self.board.drop_remote(target.instance)
         self.health.forget(target.instance)
         self.limits.forget(target.instance, target.born)
 
--- a/packages/gateway/src/chivepier/gateway/following/following.py
+++ b/packages/gateway/src/chivepier/gateway/following/following.py
@@ -27,7 +27,7 @@
 from chivepier.gateway.messages import ZoneNotice
 from chivepier.gateway.messages import ZoneRecord
 from chivepier.gateway.serving import ServingState
-from chivepier.gateway.targets import Leavers
+from chivepier.gateway.targets import LeavingTargets
 from chivepier.gateway.targets import TargetTable
 from chivepier.gateway.zones import Freshness
 from chivepier.gateway.zones import PRESUMED_SECONDS
@@ -86,7 +86,7 @@
         loads: LoadExchange,
         suspects: QuarantineExchange,
         limits: LimitExchange,
-        leavers: Leavers,
+        leavers: LeavingTargets,
         freshness: Freshness,
         clock: Clock,
         log: EventLog,
@@ -235,7 +235,7 @@
         unconfirmed = self._suspects.find_unconfirmed(before)
         leavers = frozenset(
             LeavingRecord(target.instance, target.born)
-            for target in self._leavers.find()
+            for target in self._leavers.list_unconfirmed()
         )
         beat = EntryBeat(
             self._name,
@@ -292,7 +292,7 @@
         self, address: str, voter: FollowedVoter, answer: EntryBeatAnswer
     ) -> None:
         self._merge(answer.records)
-        self._table.note_heard(answer.heard, self._clock.monotonic())
+        self._table.mark_alive(answer.heard, self._clock.monotonic())
         voter.standing = VoterStanding(answer.zone, answer.hears, answer.group)
         self._choose_hub()
         voter.epoch, voter.revision = answer.epoch, answer.revision
--- a/packages/gateway/src/chivepier/gateway/following/loadexchange.py
+++ b/packages/gateway/src/chivepier/gateway/following/loadexchange.py
@@ -7,8 +7,8 @@
 from chivepier.gateway.messages import QueueRecord
 from chivepier.gateway.messages import RepeatRecord
 from chivepier.gateway.serving import RetryBudget
-from chivepier.gateway.targets import LoadBoard
-from chivepier.gateway.targets import QueueBoard
+from chivepier.gateway.targets import LoadTracker
+from chivepier.gateway.targets import QueueTracker
 from chivepier.gateway.targets import TargetTable
 from chivepier.types import Clock
 
@@ -32,8 +32,8 @@
 
     def __init__(
         self,
-        board: LoadBoard,
-        queues: QueueBoard,
+        board: LoadTracker,
+        queues: QueueTracker,
         budget: RetryBudget,
         table: TargetTable,
         clock: Clock,
@@ -54,8 +54,8 @@
         """
         now = self._clock.monotonic()
         if notice.whole:
-            self._board.drop_others()
-            self._queues.drop_others()
+            self._board.drop_all_remote()
+            self._queues.drop_all_remote()
         for record in notice.records:
             self._board.put(record, now)
         for queue in notice.queues:
@@ -82,7 +82,7 @@
             again = now - repeated >= REPEAT_SECONDS
             if again:
                 repeated = now
-                self._table.forget(now)
+                self._table.expire(now)
             self._board.expire_avoiding(now)
             notice = LoadNotice(
                 self._find_loads(again),
@@ -95,7 +95,7 @@
 
     def _find_loads(self, again: bool) -> tuple[LoadRecord, ...]:
         records = []
-        for record in self._board.own():
+        for record in self._board.list_own():
             instance = record.instance
             told = self._told.get(instance)
             idle = not (
@@ -112,7 +112,7 @@
 
     def _find_queues(self, again: bool) -> tuple[QueueRecord, ...]:
         records = []
-        for record in self._queues.own():
+        for record in self._queues.list_own():
             key = (record.service, record.rank)
             if again or self._told_queues.get(key) != record.waiting:
                 records.append(record)
--- a/packages/gateway/src/chivepier/gateway/permits/__init__.py
+++ b/packages/gateway/src/chivepier/gateway/permits/__init__.py
@@ -2,34 +2,34 @@
 
 from chivepier.gateway.permits.claim import Claim
 from chivepier.gateway.permits.coldbound import ColdBound
-from chivepier.gateway.permits.leader import Leader
-from chivepier.gateway.permits.ownpart import OwnPart
-from chivepier.gateway.permits.permit import MOST_PERMIT_SECONDS
+from chivepier.gateway.permits.fairscheduler import FairScheduler
+from chivepier.gateway.permits.fairscheduler import MIN_SENDS_PER_SECOND
+from chivepier.gateway.permits.fallbacklimiter import FallbackLimiter
+from chivepier.gateway.permits.leaderclient import LeaderClient
+from chivepier.gateway.permits.permit import MAX_PERMIT_SECONDS
 from chivepier.gateway.permits.permit import Permit
 from chivepier.gateway.permits.permit import PERMIT_SECONDS
-from chivepier.gateway.permits.permitledger import CONNECT_SECONDS
-from chivepier.gateway.permits.permitledger import MOST_WINDOW_SECONDS
-from chivepier.gateway.permits.permitledger import PermitLedger
-from chivepier.gateway.permits.permitledger import WINDOW_SECONDS
-from chivepier.gateway.permits.permits import Permits
-from chivepier.gateway.permits.turn import Turn
-from chivepier.gateway.permits.turns import LEAST_RATE
-from chivepier.gateway.permits.turns import Turns
+from chivepier.gateway.permits.senddecision import SendDecision
+from chivepier.gateway.permits.sendlimiter import SendLimiter
+from chivepier.gateway.permits.slidingwindowlimiter import CONNECT_SECONDS
+from chivepier.gateway.permits.slidingwindowlimiter import MAX_WINDOW_SECONDS
+from chivepier.gateway.permits.slidingwindowlimiter import SlidingWindowLimiter
+from chivepier.gateway.permits.slidingwindowlimiter import WINDOW_SECONDS
 
 __all__ = [
     "CONNECT_SECONDS",
     "Claim",
     "ColdBound",
-    "LEAST_RATE",
-    "Leader",
-    "MOST_PERMIT_SECONDS",
-    "MOST_WINDOW_SECONDS",
-    "OwnPart",
+    "MIN_SENDS_PER_SECOND",
+    "LeaderClient",
+    "MAX_PERMIT_SECONDS",
+    "MAX_WINDOW_SECONDS",
+    "FallbackLimiter",
     "PERMIT_SECONDS",
     "Permit",
-    "PermitLedger",
-    "Permits",
-    "Turn",
-    "Turns",
+    "SlidingWindowLimiter",
+    "SendLimiter",
+    "SendDecision",
+    "FairScheduler",
     "WINDOW_SECONDS",
 ]
--- a/packages/gateway/src/chivepier/gateway/permits/ownpart.py
+++ b/packages/gateway/src/chivepier/gateway/permits/fallbacklimiter.py
@@ -3,11 +3,11 @@
 import random
 
 from chivepier.gateway.permits.claim import Claim
-from chivepier.gateway.permits.turn import Turn
-from chivepier.gateway.permits.turns import LEAST_RATE
+from chivepier.gateway.permits.fairscheduler import MIN_SENDS_PER_SECOND
+from chivepier.gateway.permits.senddecision import SendDecision
 
 
-class OwnPart:
+class FallbackLimiter:
     """An even part of a target's rate, for an entry that no leader answers.
 
     With nothing sent, a service whose targets are all in need would stand
@@ -15,11 +15,11 @@
     that their part takes: each sending one at once, hundreds would come to a
     target together.
 
-    >>> part = OwnPart(random.Random(1))
-    >>> part.begin(4)
-    >>> part.claim("i1", 2.0, Claim(patience=2.0), 0.0).granted
+    >>> limiter = FallbackLimiter(random.Random(1))
+    >>> limiter.reset(4)
+    >>> limiter.acquire("i1", 2.0, Claim(patience=2.0), 0.0).granted
     True
-    >>> part.claim("i1", 2.0, Claim(), 0.1).granted
+    >>> limiter.acquire("i1", 2.0, Claim(), 0.1).granted
     False
 
     :param rng: draws where this entry begins
@@ -27,20 +27,20 @@
 
     def __init__(self, rng: random.Random):
         self._rng = rng
-        self._entries = 1
-        self._due: dict[str, float] = {}
+        self._entry_count = 1
+        self._due_at: dict[str, float] = {}
 
-    def begin(self, entries: int) -> None:
+    def reset(self, entries: int) -> None:
         """Begin to send without a leader.
 
         :param entries: that share a target's rate, this one included
         """
-        self._entries = max(1, entries)
-        self._due.clear()
+        self._entry_count = max(1, entries)
+        self._due_at.clear()
 
-    def claim(
+    def acquire(
         self, instance: str, rate: float, claim: Claim, now: float
-    ) -> Turn:
+    ) -> SendDecision:
         """Give a claim its turn, or say when to ask again.
 
         :param instance: the target's name
@@ -48,11 +48,13 @@
         :param claim: whose request it is
         :param now: monotonic seconds
         """
-        apart = self._entries / max(rate, LEAST_RATE)
-        due = self._due.get(instance)
+        interval = self._entry_count / max(rate, MIN_SENDS_PER_SECOND)
+        due = self._due_at.get(instance)
         if due is None:
-            due = self._due[instance] = now + self._rng.uniform(0.0, apart)
+            due = self._due_at[instance] = now + self._rng.uniform(
+                0.0, interval
+            )
         if due - now > claim.patience:
-            return Turn(False, due - now)
-        self._due[instance] = max(due, now) + apart
-        return Turn(True, max(0.0, due - now))
+            return SendDecision(False, due - now)
+        self._due_at[instance] = max(due, now) + interval
+        return SendDecision(True, max(0.0, due - now))
--- a/packages/gateway/src/chivepier/gateway/permits/question.py
+++ b/packages/gateway/src/chivepier/gateway/permits/pendingrequest.py
@@ -4,16 +4,16 @@
 
 
 @attrs.define
-class Question:
+class PendingRequest:
     """What its answer is worth, and to whom.
 
     :param key: whose leave it asks for: target, class and team
     :param asked: when, in monotonic seconds
-    :param lapse: seconds from then on in which leave may be used
+    :param permit_seconds: seconds from then on in which leave may be used
     :param awaited: whether the request that asked still waits for it
     """
 
     key: tuple[str, int, int, str]
-    asked: float
-    lapse: float
-    awaited: bool = True
+    asked_at: float
+    permit_seconds: float
+    is_awaited: bool = True
--- a/packages/gateway/src/chivepier/gateway/permits/permit.py
+++ b/packages/gateway/src/chivepier/gateway/permits/permit.py
@@ -6,7 +6,7 @@
 # answer and a reservation.
 PERMIT_SECONDS = 0.25
 # The same at most, where answers are slow; a new leader waits for as long.
-MOST_PERMIT_SECONDS = 1.0
+MAX_PERMIT_SECONDS = 1.0
 
 
 @attrs.frozen
@@ -17,4 +17,4 @@
         for a target that takes what comes
     """
 
-    until: float = float("inf")
+    expires_at: float = float("inf")
--- a/packages/gateway/src/chivepier/gateway/permits/permits.py
+++ b/packages/gateway/src/chivepier/gateway/permits/sendlimiter.py
@@ -10,28 +10,28 @@
 from chivepier.gateway.metrics import Metrics
 from chivepier.gateway.permits.claim import Claim
 from chivepier.gateway.permits.coldbound import ColdBound
-from chivepier.gateway.permits.leader import Ask
-from chivepier.gateway.permits.leader import Leader
-from chivepier.gateway.permits.ownpart import OwnPart
-from chivepier.gateway.permits.pauses import make_key
-from chivepier.gateway.permits.pauses import Pauses
+from chivepier.gateway.permits.fallbacklimiter import FallbackLimiter
+from chivepier.gateway.permits.leaderclient import Ask
+from chivepier.gateway.permits.leaderclient import LeaderClient
 from chivepier.gateway.permits.permit import Permit
 from chivepier.gateway.permits.permit import PERMIT_SECONDS
-from chivepier.gateway.permits.turn import Turn
+from chivepier.gateway.permits.refusalbackoffs import make_key
+from chivepier.gateway.permits.refusalbackoffs import RefusalBackoffs
+from chivepier.gateway.permits.senddecision import SendDecision
 from chivepier.gateway.targets import Target
 from chivepier.gateway.zones import Zones
 from chivepier.types import Clock
 
 # Seconds after a refusal in which the same cold target isn't asked for again:
 # it is cold for a second or more, and its window moves on by then.
-REFUSED_SECONDS = 0.1
+REFUSAL_BACKOFF_SECONDS = 0.1
 
 # Seconds after a question without an answer in which none is asked: each holds
 # up its request.
-UNANSWERED_SECONDS = 0.5
+LEADER_BACKOFF_SECONDS = 0.5
 
 
-class Permits:
+class SendLimiter:
     """Asks the leader for each send to a target that takes few.
 
     A cold target crashes when all entries together send it more than it
@@ -66,7 +66,7 @@
         limits: LimitBoard,
         bound: ColdBound,
         ask: Ask,
-        own: OwnPart,
+        own: FallbackLimiter,
         count_entries: collections.abc.Callable[[], int],
         clock: Clock,
         log: EventLog,
@@ -75,16 +75,16 @@
         self._zones = zones
         self._limits = limits
         self._bound = bound
-        self._leader = Leader(ask, clock)
-        self._own = own
+        self._leader = LeaderClient(ask, clock)
+        self._fallback = own
         self._count_entries = count_entries
         self._clock = clock
         self._log = log
         self._metrics = metrics
-        self._pauses = Pauses()
-        self._late_until = float("-inf")
-        self._entries = 1
-        self._alone = False
+        self._backoffs = RefusalBackoffs()
+        self._late_answer_until = float("-inf")
+        self._entry_count = 1
+        self._leaderless = False
 
     def is_cold(self, service: Service, target: Target, now: float) -> bool:
         """Tell whether a target may bear less than usual.
@@ -101,18 +101,18 @@
         if now < target.warm_at:
             return True
         readmitted = self._zones.find_readmitted(target.zone)
-        return readmitted is not None and target.said < readmitted
+        return readmitted is not None and target.announced_at < readmitted
 
-    def find_rate(self, target: Target) -> float | None:
+    def find_limit(self, target: Target) -> float | None:
         """Return the rate that a target in need takes from all entries."""
         return self._limits.find_rate(target.instance, target.born)
 
     @property
-    def knows_limits(self) -> bool:
+    def has_limits(self) -> bool:
         """Whether any target is in need; nearly always none is."""
         return bool(self._limits)
 
-    def find_rates(
+    def find_limits(
         self, targets: collections.abc.Iterable[Target]
     ) -> dict[str, float]:
         """Return what those of some targets take that are in need.
@@ -120,23 +120,27 @@
         :param targets: to be looked at
         :returns: requests a second, by the targets' names
         """
-        if not self.knows_limits:
+        if not self.has_limits:
             return {}
-        rates = {target.instance: self.find_rate(target) for target in targets}
+        rates = {
+            target.instance: self.find_limit(target) for target in targets
+        }
         return {name: rate for name, rate in rates.items() if rate is not None}
 
-    def find_pause(self, target: Target, claim: Claim) -> float | None:
+    def find_backoff(self, target: Target, claim: Claim) -> float | None:
         """Return the seconds until a claim may be made again.
 
         :param target: in need
         :param claim: whose request wants to go there
         :returns: ``None`` where it may be made now
         """
-        if self.find_rate(target) is None:
+        if self.find_limit(target) is None:
             return None
-        return self._pauses.find(target, claim, self._clock.monotonic())
+        return self._backoffs.find_remaining(
+            target, claim, self._clock.monotonic()
+        )
 
-    async def take(
+    async def acquire(
         self, service: Service, target: Target, claim: Claim
     ) -> Permit | None:
         """Return leave to send one request to a target, once it may go.
@@ -148,31 +152,35 @@
         """
         now = self._clock.monotonic()
         cold = self.is_cold(service, target, now)
-        rate = self.find_rate(target)
+        rate = self.find_limit(target)
         if not cold and rate is None:
             return Permit()
         if rate is None:
             # whose request it is decides nothing at a cold target
             claim = Claim()
         key = make_key(target, claim)
-        kept = self._leader.take_kept(key)
+        kept = self._leader.take_unused(key)
         if kept is not None:
             return kept
-        if self._pauses.find(target, claim, now) is not None:
+        if self._backoffs.find_remaining(target, claim, now) is not None:
             return None
-        if cold and (now < self._late_until or self._unanswered(now)):
+        if cold and (
+            now < self._late_answer_until or self._is_leader_unanswered(now)
+        ):
             return None
         turn = await self._claim(service, target, claim, rate, cold)
         if not turn.granted:
-            self._pauses.note(target, claim, now + turn.wait)
+            self._backoffs.record(target, claim, now + turn.wait)
             self._note_refused(target, rate, turn.wait)
             return None
         if turn.wait:
             await self._clock.sleep(turn.wait)
-        return Permit(now + turn.wait + max(PERMIT_SECONDS, turn.lapse))
+        return Permit(
+            now + turn.wait + max(PERMIT_SECONDS, turn.permit_seconds)
+        )
 
-    def _unanswered(self, now: float) -> bool:
-        return now - self._leader.unanswered_at < UNANSWERED_SECONDS
+    def _is_leader_unanswered(self, now: float) -> bool:
+        return now - self._leader.last_unanswered_at < LEADER_BACKOFF_SECONDS
 
     async def _claim(
         self,
@@ -181,13 +189,13 @@
         claim: Claim,
         rate: float | None,
         cold: bool,
-    ) -> Turn:
+    ) -> SendDecision:
         now = self._clock.monotonic()
-        if self._unanswered(now):
-            return self._claim_without(target, claim, rate, cold)
+        if self._is_leader_unanswered(now):
+            return self._claim_leaderless(target, claim, rate, cold)
         request = PermitRequest(
             target.instance,
-            self._bound.count(service.cold_rate) if cold else 0,
+            self._bound.get_max_sends(service.cold_rate) if cold else 0,
             -1.0 if rate is None else rate,
             claim.team,
             claim.urgency,
@@ -195,26 +203,26 @@
             0.0 if cold else claim.patience,
         )
         key = make_key(target, claim)
-        question, answer = await self._leader.ask(key, request)
+        pending, answer = await self._leader.ask(key, request)
         if answer is None:
             # it may still come, for the next request
-            self._late_until = now + UNANSWERED_SECONDS
+            self._late_answer_until = now + LEADER_BACKOFF_SECONDS
             self._count(rate, "late")
-            if self._alone:
-                return self._claim_without(target, claim, rate, cold)
-            return Turn(False, REFUSED_SECONDS)
+            if self._leaderless:
+                return self._claim_leaderless(target, claim, rate, cold)
+            return SendDecision(False, REFUSAL_BACKOFF_SECONDS)
         if not answer.led:
-            return self._claim_without(target, claim, rate, cold)
-        self._alone, self._entries = False, self._count_entries()
-        return self._read_answer(answer, rate, question.lapse)
+            return self._claim_leaderless(target, claim, rate, cold)
+        self._leaderless, self._entry_count = False, self._count_entries()
+        return self._read_answer(answer, rate, pending.permit_seconds)
 
-    def _claim_without(
+    def _claim_leaderless(
         self, target: Target, claim: Claim, rate: float | None, cold: bool
-    ) -> Turn:
+    ) -> SendDecision:
         if rate is not None and not cold:
-            return self._claim_alone(target, claim, rate)
+            return self._claim_locally(target, claim, rate)
         self._count(rate, "unanswered")
-        return Turn(False, REFUSED_SECONDS)
+        return SendDecision(False, REFUSAL_BACKOFF_SECONDS)
 
     def _count(self, rate: float | None, answer: str) -> None:
         kind = "cold" if rate is None else "limit"
@@ -222,38 +230,40 @@
 
     def _read_answer(
         self, answer: PermitAnswer, rate: float | None, lapse: float
-    ) -> Turn:
+    ) -> SendDecision:
         self._count(rate, "granted" if answer.granted else "refused")
         if answer.granted:
-            return Turn(True, answer.wait, lapse)
-        return Turn(False, answer.wait or REFUSED_SECONDS)
+            return SendDecision(True, answer.wait, lapse)
+        return SendDecision(False, answer.wait or REFUSAL_BACKOFF_SECONDS)
 
-    def _claim_alone(self, target: Target, claim: Claim, rate: float) -> Turn:
+    def _claim_locally(
+        self, target: Target, claim: Claim, rate: float
+    ) -> SendDecision:
         """Send this entry's part, as no leader answers.
 
         The voter that is heard last may hear few entries: the most that were
         known since the leader answered share the rate.
         """
-        entries = max(self._entries, self._count_entries())
-        if not self._alone:
-            self._alone = True
-            self._own.begin(entries)
+        entries = max(self._entry_count, self._count_entries())
+        if not self._leaderless:
+            self._leaderless = True
+            self._fallback.reset(entries)
             self._log.warn("limits_kept_alone", entries=entries)
         now = self._clock.monotonic()
-        turn = self._own.claim(target.instance, rate, claim, now)
+        turn = self._fallback.acquire(target.instance, rate, claim, now)
         self._metrics.note_permit(
             "limit", "own_part" if turn.granted else "refused_alone"
         )
         if turn.granted:
             return turn
         # its part may come in minutes, a leader at any moment
-        return Turn(False, min(turn.wait, UNANSWERED_SECONDS))
+        return SendDecision(False, min(turn.wait, LEADER_BACKOFF_SECONDS))
 
     def _note_refused(
         self, target: Target, rate: float | None, wait: float
     ) -> None:
         now = self._clock.monotonic()
-        if not self._pauses.may_log(target, now):
+        if not self._backoffs.should_log(target, now):
             return
         if rate is not None:
             self._log.info(
@@ -267,5 +277,5 @@
             "cold_target_left_out",
             target=target.instance,
             warm_s=round(max(0.0, target.warm_at - now), 3),
-            said_s=round(now - target.said, 3),
+            said_s=round(now - target.announced_at, 3),
         )
--- a/packages/gateway/src/chivepier/gateway/permits/permitledger.py
+++ b/packages/gateway/src/chivepier/gateway/permits/slidingwindowlimiter.py
@@ -1,6 +1,6 @@
 """What one voter has permitted as the leader."""
 
-from chivepier.gateway.permits.permit import MOST_PERMIT_SECONDS
+from chivepier.gateway.permits.permit import MAX_PERMIT_SECONDS
 from chivepier.gateway.permits.permit import PERMIT_SECONDS
 
 # Seconds for a connection to a target to stand; a send that waits for longer
@@ -10,23 +10,23 @@
 # in one second was permitted within this time, whoever stood still or led.
 WINDOW_SECONDS = 1.0 + PERMIT_SECONDS + CONNECT_SECONDS
 # The same for permits of which nothing is known.
-MOST_WINDOW_SECONDS = 1.0 + MOST_PERMIT_SECONDS + CONNECT_SECONDS
+MAX_WINDOW_SECONDS = 1.0 + MAX_PERMIT_SECONDS + CONNECT_SECONDS
 
 
-class PermitLedger:
+class SlidingWindowLimiter:
     """Counts permits by target until no second holds their sends any more.
 
-    >>> ledger = PermitLedger()
-    >>> [ledger.grant("i1", 2, now) for now in (0.0, 0.1, 0.2)]
+    >>> limiter = SlidingWindowLimiter()
+    >>> [limiter.acquire("i1", 2, now) for now in (0.0, 0.1, 0.2)]
     [True, True, False]
-    >>> ledger.grant("i1", 2, 0.1 + WINDOW_SECONDS)
+    >>> limiter.acquire("i1", 2, 0.1 + WINDOW_SECONDS)
     True
     """
 
     def __init__(self) -> None:
         self._granted: dict[str, list[float]] = {}
 
-    def grant(
+    def acquire(
         self,
         instance: str,
         most: int,
--- a/packages/gateway/src/chivepier/gateway/permits/tests/test_ownpart.py
+++ b/packages/gateway/src/chivepier/gateway/permits/tests/test_fallbacklimiter.py
@@ -5,7 +5,7 @@
 import pytest
 
 from chivepier.gateway.permits import Claim
-from chivepier.gateway.permits import OwnPart
+from chivepier.gateway.permits import FallbackLimiter
 
 RATE = 1.5
 SECONDS = 60.0
@@ -26,11 +26,11 @@
     # Each entry began with a send, and hundreds came to a target at once.
     moments = []
     for number in range(entries):
-        part = OwnPart(random.Random(number))
-        part.begin(entries)
+        part = FallbackLimiter(random.Random(number))
+        part.reset(entries)
         for step in range(int(SECONDS / 0.1)):
             now = 0.1 * step
-            if part.claim("i1", RATE, Claim(), now).granted:
+            if part.acquire("i1", RATE, Claim(), now).granted:
                 moments.append(now)
     assert 0.7 * RATE * SECONDS <= len(moments) <= RATE * SECONDS + entries
     # at random moments, a window holds more than the mean now and then
@@ -39,17 +39,17 @@
 
 def test_each_begin_draws_anew():
     # An entry that has sent nothing for long does not begin with a send.
-    part = OwnPart(random.Random(1))
+    part = FallbackLimiter(random.Random(1))
     granted = 0
     for _ in range(50):
-        part.begin(100)
-        granted += part.claim("i1", RATE, Claim(), 1e6).granted
+        part.reset(100)
+        granted += part.acquire("i1", RATE, Claim(), 1e6).granted
     assert granted <= 5
 
 
 def test_claim_waits_for_its_moment():
-    part = OwnPart(random.Random(1))
-    part.begin(2)
-    first = part.claim("i1", 1.0, Claim(patience=2.0), 0.0)
-    second = part.claim("i1", 1.0, Claim(patience=9.0), 0.0)
+    part = FallbackLimiter(random.Random(1))
+    part.reset(2)
+    first = part.acquire("i1", 1.0, Claim(patience=2.0), 0.0)
+    second = part.acquire("i1", 1.0, Claim(patience=9.0), 0.0)
     assert second.wait - first.wait == pytest.approx(2.0)
--- a/packages/gateway/src/chivepier/gateway/permits/tests/test_leader.py
+++ b/packages/gateway/src/chivepier/gateway/permits/tests/test_leaderclient.py
@@ -6,10 +6,10 @@
 
 from chivepier.gateway.messages import PermitAnswer
 from chivepier.gateway.messages import PermitRequest
-from chivepier.gateway.permits import Leader
-from chivepier.gateway.permits import MOST_PERMIT_SECONDS
+from chivepier.gateway.permits import LeaderClient
+from chivepier.gateway.permits import MAX_PERMIT_SECONDS
 from chivepier.gateway.permits import PERMIT_SECONDS
-from chivepier.gateway.permits import PermitLedger
+from chivepier.gateway.permits import SlidingWindowLimiter
 from chivepier.standins.loopclock import LoopClock
 from chivepier.standins.playedloop import play_time
 
@@ -24,31 +24,31 @@
     def __init__(self, seconds: float):
         self.clock = LoopClock()
         self.seconds = seconds
-        self.ledger = PermitLedger()
-        self.leader = Leader(self._answer, self.clock)
+        self.ledger = SlidingWindowLimiter()
+        self.leader = LeaderClient(self._answer, self.clock)
         self.lapses: list[float] = []
         self.sent: list[float] = []
 
     async def _answer(self, request: PermitRequest) -> PermitAnswer | None:
         await self.clock.sleep(self.seconds / 2)
         now = self.clock.monotonic()
-        granted = self.ledger.grant("i1", MOST, now, request.lapse)
+        granted = self.ledger.acquire("i1", MOST, now, request.lapse)
         self.lapses.append(request.lapse)
         await self.clock.sleep(self.seconds / 2)
         return PermitAnswer(granted)
 
     async def try_send(self) -> None:
         """Send one request, if there is leave for it now."""
-        permit = self.leader.take_kept(KEY)
+        permit = self.leader.take_unused(KEY)
         if permit is None:
-            question, answer = await self.leader.ask(
+            pending, answer = await self.leader.ask(
                 KEY, PermitRequest("i1", MOST)
             )
             if answer is None or not answer.granted:
                 return
-            until = question.asked + question.lapse
+            until = pending.asked_at + pending.permit_seconds
         else:
-            until = permit.until
+            until = permit.expires_at
         now = self.clock.monotonic()
         if now <= until:
             self.sent.append(now)
@@ -74,17 +74,17 @@
         for first in slow.sent:
             busy = sum(first <= at < first + 1.0 for at in slow.sent)
             assert busy <= MOST
-        assert max(slow.lapses) <= MOST_PERMIT_SECONDS
+        assert max(slow.lapses) <= MAX_PERMIT_SECONDS
 
     run(test, seconds)
 
 
 def test_leave_is_short_again_once_answers_are_prompt():
     async def test(slow):
-        while slow.leader.lapse <= PERMIT_SECONDS:
+        while slow.leader.permit_seconds <= PERMIT_SECONDS:
             await slow.try_send()
         slow.seconds = 0.0
-        while slow.leader.lapse > PERMIT_SECONDS:
+        while slow.leader.permit_seconds > PERMIT_SECONDS:
             await slow.try_send()
 
     run(test, 0.15)
@@ -92,11 +92,11 @@
 
 def test_leave_that_has_lapsed_is_not_kept():
     async def test(slow):
-        slow.leader.lapse = 0.2
+        slow.leader.permit_seconds = 0.2
         await slow.leader.ask(KEY, PermitRequest("i1", MOST))
         while not slow.lapses:
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.3)
-        assert slow.leader.take_kept(KEY) is None
+        assert slow.leader.take_unused(KEY) is None
 
     run(test, 0.3)
--- a/packages/gateway/src/chivepier/gateway/permits/tests/test_permitledger.py
+++ b/packages/gateway/src/chivepier/gateway/permits/tests/test_slidingwindowlimiter.py
@@ -5,12 +5,12 @@
 from hypothesis import strategies
 
 from chivepier.gateway.permits import CONNECT_SECONDS
-from chivepier.gateway.permits import MOST_PERMIT_SECONDS
+from chivepier.gateway.permits import MAX_PERMIT_SECONDS
 from chivepier.gateway.permits import PERMIT_SECONDS
-from chivepier.gateway.permits import PermitLedger
+from chivepier.gateway.permits import SlidingWindowLimiter
 
 # Milliseconds, as times: whole numbers add up without error.
-LAPSES = [round(1000 * PERMIT_SECONDS), 400, round(1000 * MOST_PERMIT_SECONDS)]
+LAPSES = [round(1000 * PERMIT_SECONDS), 400, round(1000 * MAX_PERMIT_SECONDS)]
 ASKED = strategies.lists(
     strategies.tuples(
         strategies.integers(0, 400),
@@ -26,11 +26,11 @@
 def test_no_second_sees_more_than_the_bound(asked, most):
     # Entries ask at any moment, and what they were given leave for arrives
     # at once or as late as a permit and a connection allow.
-    ledger, now, arrived = PermitLedger(), 0, []
+    ledger, now, arrived = SlidingWindowLimiter(), 0, []
     for gap, lapse, share in asked:
         now += gap
         latest = lapse + round(1000 * CONNECT_SECONDS)
-        if ledger.grant("i1", most, now / 1000, lapse / 1000):
+        if ledger.acquire("i1", most, now / 1000, lapse / 1000):
             arrived.append(now + int(share * latest))
     for first in arrived:
         busy = sum(first <= moment < first + 1000 for moment in arrived)
--- a/packages/gateway/src/chivepier/gateway/serving/copyturns.py
+++ b/packages/gateway/src/chivepier/gateway/serving/copyturns.py
@@ -6,7 +6,7 @@
 
 from chivepier.gateway.serving.liverun import LiveRun
 from chivepier.gateway.serving.liverun import milliseconds
-from chivepier.gateway.targets import LoadBoard
+from chivepier.gateway.targets import LoadTracker
 from chivepier.types import Clock
 
 # Seconds until entries know of each other what they have to copy.
@@ -30,7 +30,7 @@
     :param clock: monotonic time
     """
 
-    def __init__(self, board: LoadBoard, clock: Clock):
+    def __init__(self, board: LoadTracker, clock: Clock):
         self._board = board
         self._clock = clock
         self._due: dict[str, set[LiveRun]] = {}
@@ -66,11 +66,11 @@
         """Drop what is known of a target without generations."""
         for known in (self._due, self._told, self._locks):
             known.pop(source, None)
-        self._board.take_turn(source, 0)
+        self._board.set_copy_time(source, 0)
 
     def _tell(self, source: str) -> None:
         seconds = sum(run.copy_seconds() for run in self._due[source])
-        self._board.take_turn(source, milliseconds(seconds))
+        self._board.set_copy_time(source, milliseconds(seconds))
 
     @contextlib.asynccontextmanager
     async def take(
@@ -80,21 +80,23 @@
         async with self._locks.setdefault(source, asyncio.Lock()):
             self.expect(source, {run})
             await self._wait(source, run)
-            self._board.note_copying(source, True)
+            self._board.set_copying(source, True)
             try:
                 yield
             finally:
-                self._board.note_copying(source, False)
+                self._board.set_copying(source, False)
                 self.skip(source, run)
 
     async def _wait(self, source: str, run: LiveRun) -> None:
         known = self._told[source] + EXCHANGE_SECONDS
         await run.await_loss(max(0.0, known - self._clock.monotonic()))
         began = self._clock.monotonic()
-        before = self._board.before(source, began)
+        before = self._board.get_copy_wait_ms(source, began)
         end = began + min(before / 1000, MOST_SECONDS)
         while before and self._clock.monotonic() < end:
             await run.await_loss(LOOK_SECONDS)
             if run.lost.is_set():
                 return
-            before = self._board.before(source, self._clock.monotonic())
+            before = self._board.get_copy_wait_ms(
+                source, self._clock.monotonic()
+            )
--- a/packages/gateway/src/chivepier/gateway/serving/dispatcher.py
+++ b/packages/gateway/src/chivepier/gateway/serving/dispatcher.py
@@ -29,9 +29,9 @@
 from chivepier.gateway.serving.servingstate import ServingState
 from chivepier.gateway.serving.targetanswer import TargetAnswer
 from chivepier.gateway.serving.targetcalls import TargetCalls
-from chivepier.gateway.targets import Chooser
-from chivepier.gateway.targets import LoadBoard
-from chivepier.gateway.targets import QueueBoard
+from chivepier.gateway.targets import LoadBalancer
+from chivepier.gateway.targets import LoadTracker
+from chivepier.gateway.targets import QueueTracker
 from chivepier.gateway.targets import Target
 from chivepier.gateway.targets import TargetHealth
 from chivepier.gateway.targets import TargetTable
@@ -71,10 +71,10 @@
         *,
         state: ServingState,
         table: TargetTable,
-        chooser: Chooser,
+        chooser: LoadBalancer,
         health: TargetHealth,
-        board: LoadBoard,
-        queues: QueueBoard,
+        board: LoadTracker,
+        queues: QueueTracker,
         mover: Mover,
         calls: TargetCalls,
         budget: RetryBudget,
@@ -95,7 +95,7 @@
         self.gate = gate
         self.clock = clock
         self.log = log
-        self.runs = RunWatch(board, mover, chooser.pace, clock)
+        self.runs = RunWatch(board, mover, chooser.prefill_estimator, clock)
         self._refusals = Refusals(table, clock, returns, log)
         self._placing = Placing(
             chooser, health, queues, calls, guard, gate, clock, log
@@ -224,7 +224,7 @@
         if sent.run is not None:
             self.runs.unwatch(sent.run)
             sent.answer.close()
-        self.chooser.end(sent.target.instance)
+        self.chooser.record_end(sent.target.instance)
 
     async def _try(self, plan: Plan, place: Place, more: bool) -> Sent:
         target = place.target
@@ -234,7 +234,7 @@
         run = None
         if plan.demand is not None:
             run = self.runs.start(plan, target)
-        self.chooser.begin(target.instance)
+        self.chooser.record_start(target.instance)
         began = self.clock.monotonic()
         answer: TargetAnswer | None = None
         try:
@@ -256,7 +256,7 @@
                 answer.close()
             if run is not None:
                 self.runs.give_up(run)
-            self.chooser.end(target.instance)
+            self.chooser.record_end(target.instance)
             raise
         self._note_answer(plan, sent, began)
         return sent
@@ -301,7 +301,7 @@
     ) -> bool:
         facts = answer.facts
         if facts.other_instance is not None:
-            self.table.note_gone(target.instance, target.address)
+            self.table.mark_gone(target.instance, target.address)
         elif not facts.not_run:
             return False
         self.log.info(
@@ -323,7 +323,7 @@
             slowness = (now - began) / plan.route.objective
         if self.table.is_current(sent.target):
             instance = sent.target.instance
-            self.health.note_answer(instance, failed, slowness, now)
+            self.health.record_response(instance, failed, slowness, now)
 
     def note_lost(
         self,
@@ -351,7 +351,7 @@
             target=target.instance,
             born=target.born,
             address=target.address,
-            leaving=self.table.leaves(target.instance),
+            leaving=self.table.is_leaving(target.instance),
             sent_ms=round(1000 * (now - sent)),
             begun_ms=None if begun is None else round(1000 * (now - begun)),
             error=repr(error),
@@ -363,4 +363,4 @@
         if self.table.is_current(target):
             # one that has started again is not avoided for what its earlier
             # life left unanswered
-            self.chooser.avoid(target.instance)
+            self.chooser.avoid_unreachable(target.instance)
--- a/packages/gateway/src/chivepier/gateway/serving/mover.py
+++ b/packages/gateway/src/chivepier/gateway/serving/mover.py
@@ -14,9 +14,9 @@
 from chivepier.gateway.serving.moveoutcome import MoveOutcome
 from chivepier.gateway.serving.origin import Origin
 from chivepier.gateway.serving.targetcalls import TargetCalls
-from chivepier.gateway.targets import Chooser
 from chivepier.gateway.targets import Liveness
-from chivepier.gateway.targets import LoadBoard
+from chivepier.gateway.targets import LoadBalancer
+from chivepier.gateway.targets import LoadTracker
 from chivepier.gateway.targets import Target
 from chivepier.gateway.targets import TargetState
 from chivepier.gateway.targets import TargetTable
@@ -60,9 +60,9 @@
     def __init__(
         self,
         calls: TargetCalls,
-        chooser: Chooser,
+        chooser: LoadBalancer,
         table: TargetTable,
-        board: LoadBoard,
+        board: LoadTracker,
         guard: Guard,
         clock: Clock,
         log: EventLog,
@@ -147,7 +147,7 @@
             return False
         if now - last.heard >= GONE_SECONDS:
             return True
-        if not self._chooser.is_open(last.target):
+        if not self._chooser.is_zone_open(last.target):
             return False
         return await self._calls.probe(last.target) is Liveness.ENDED
 
@@ -238,11 +238,11 @@
         self, tokens: int, target: Target
     ) -> collections.abc.Iterator[None]:
         name = target.instance
-        self._board.change(name, tokens=tokens, receiving=1)
+        self._board.adjust_own(name, tokens=tokens, receiving=1)
         try:
             yield
         finally:
-            self._board.change(name, tokens=-tokens, receiving=-1)
+            self._board.adjust_own(name, tokens=-tokens, receiving=-1)
 
     async def _copy_to(
         self, run: LiveRun, source: Target, target: Target
@@ -307,7 +307,7 @@
         """
         elsewhere = copy.origin is not None and copy.target is not run.target
         # nothing is sent to a zone that is evacuated; it yields by itself
-        if elsewhere and self._chooser.is_open(copy.target):
+        if elsewhere and self._chooser.is_zone_open(copy.target):
             dropped = await self._calls.drop(copy.target, copy.origin.handle)
             self._log.info(
                 "copy_dropped",
--- a/packages/gateway/src/chivepier/gateway/serving/placing.py
+++ b/packages/gateway/src/chivepier/gateway/serving/placing.py
@@ -17,8 +17,8 @@
 from chivepier.gateway.serving.waiting import find_stage
 from chivepier.gateway.serving.waiting import REFUSED_SHARE
 from chivepier.gateway.serving.waiting import Stage
-from chivepier.gateway.targets import Chooser
-from chivepier.gateway.targets import QueueBoard
+from chivepier.gateway.targets import LoadBalancer
+from chivepier.gateway.targets import QueueTracker
 from chivepier.gateway.targets import Target
 from chivepier.gateway.targets import TargetHealth
 from chivepier.types import Clock
@@ -60,9 +60,9 @@
 
     def __init__(
         self,
-        chooser: Chooser,
+        chooser: LoadBalancer,
         health: TargetHealth,
-        queues: QueueBoard,
+        queues: QueueTracker,
         calls: TargetCalls,
         guard: Guard,
         gate: SendGate,
@@ -123,7 +123,7 @@
         """
         service = plan.service.name
         while True:
-            pause = self._chooser.find_rest(service, plan.regions)
+            pause = self._chooser.find_shortest_rest(service, plan.regions)
             if pause is None:
                 return
             now = self._clock.monotonic()
@@ -242,14 +242,14 @@
         now = self._clock.monotonic()
         # those of its own rank go first, too: it has just come
         rank = self._find_rank(plan) + 1
-        ahead = self._queues.ahead(plan.service.name, rank, now)
+        ahead = self._queues.count_ahead(plan.service.name, rank, now)
         seconds = self._find_last_start(plan) - now
         if ahead > rate * seconds:
             raise OverLimitError(rate)
         return True
 
     def _find_stage(self, plan: Plan) -> Stage:
-        reading = self._chooser.pace.estimate(
+        reading = self._chooser.prefill_estimator.estimate(
             plan.service.name, plan.demand.prompt
         )
         return find_stage(plan, self._clock.monotonic(), reading)
@@ -277,9 +277,9 @@
         service = plan.service
         now = self._clock.monotonic()
         rank = find_rank(plan, stage)
-        ahead = self._queues.ahead(service.name, rank, now)
+        ahead = self._queues.count_ahead(service.name, rank, now)
         ahead += self._chooser.count_leaving(service.name)
-        places = self._chooser.count_places(
+        places = self._chooser.count_free_places(
             service.name, service.engine, plan.demand, plan.regions
         )
         return places > ahead
@@ -300,12 +300,14 @@
     async def _reserve(self, plan: Plan, target: Target) -> str | None:
         seconds = min(KEPT_SECONDS, plan.service.engine.reserve_seconds)
         try:
-            return await self._calls.reserve(target, plan.demand.soon, seconds)
+            return await self._calls.reserve(
+                target, plan.demand.near_term_tokens, seconds
+            )
         except NotPermittedError:
             # it was permitted a moment ago, and says nothing of the target
             return None
         except NotSentError as error:
-            self._chooser.avoid(target.instance)
+            self._chooser.avoid_unreachable(target.instance)
             self._log.warn(
                 "reserve_failed",
                 id=plan.request.id,
--- a/packages/gateway/src/chivepier/gateway/serving/queueticket.py
+++ b/packages/gateway/src/chivepier/gateway/serving/queueticket.py
@@ -1,6 +1,6 @@
 """A request's place among those that wait."""
 
-from chivepier.gateway.targets import QueueBoard
+from chivepier.gateway.targets import QueueTracker
 
 
 class QueueTicket:
@@ -10,7 +10,7 @@
     :param service: whose targets it waits for
     """
 
-    def __init__(self, board: QueueBoard, service: str):
+    def __init__(self, board: QueueTracker, service: str):
         self._board = board
         self._service = service
         self._rank: int | None = None
--- a/packages/gateway/src/chivepier/gateway/serving/relay.py
+++ b/packages/gateway/src/chivepier/gateway/serving/relay.py
@@ -312,8 +312,8 @@
         run.go_on(handoff.target, dispatcher.clock.monotonic())
         self._splitter = EventSplitter()
         dispatcher.runs.watch(run)
-        dispatcher.chooser.begin(run.target.instance)
-        if dispatcher.table.leaves(run.target.instance):
+        dispatcher.chooser.record_start(run.target.instance)
+        if dispatcher.table.is_leaving(run.target.instance):
             dispatcher.mover.start(run)
         return Sent(run.target, answer, b"", run)
 
--- a/packages/gateway/src/chivepier/gateway/serving/remarks.py
+++ b/packages/gateway/src/chivepier/gateway/serving/remarks.py
@@ -11,7 +11,7 @@
 from chivepier.gateway.limits import UnreadRest
 from chivepier.gateway.metrics import Metrics
 from chivepier.gateway.serving.answerfacts import AnswerFacts
-from chivepier.gateway.targets import Leavers
+from chivepier.gateway.targets import LeavingTargets
 from chivepier.gateway.targets import Target
 from chivepier.gateway.targets import TargetTable
 from chivepier.types import Clock
@@ -43,7 +43,7 @@
         self,
         limits: LimitBoard,
         rests: RestBoard,
-        leavers: Leavers,
+        leavers: LeavingTargets,
         table: TargetTable,
         clock: Clock,
         log: EventLog,
@@ -99,7 +99,7 @@
                 )
 
     def _note_leaving(self, target: Target) -> None:
-        if self._leavers.note(target, self._clock.monotonic()):
+        if self._leavers.record(target, self._clock.monotonic()):
             self._log.info(
                 "leaving_told",
                 target=target.instance,
--- a/packages/gateway/src/chivepier/gateway/serving/returns.py
+++ b/packages/gateway/src/chivepier/gateway/serving/returns.py
@@ -3,7 +3,7 @@
 import random
 
 # Requests a second below which a rate says nothing of when to come back.
-LEAST_RATE = 0.2
+MIN_SENDS_PER_SECOND = 0.2
 # Seconds after which callers are not told to come back any later: by then
 # what targets take has changed, or those refused before have given up.
 MOST_SECONDS = 20.0
@@ -50,7 +50,7 @@
         :param entries: that spread their callers, this one included
         :param now: monotonic seconds
         """
-        apart = max(1, entries) / max(rate, LEAST_RATE)
+        apart = max(1, entries) / max(rate, MIN_SENDS_PER_SECOND)
         at = max(now, self._next.get(service, now)) + apart
         if at - now > MOST_SECONDS:
             return self._rng.uniform(MOST_SECONDS / 2, MOST_SECONDS)
--- a/packages/gateway/src/chivepier/gateway/serving/runwatch.py
+++ b/packages/gateway/src/chivepier/gateway/serving/runwatch.py
@@ -3,11 +3,11 @@
 from chivepier.gateway.serving.liverun import LiveRun
 from chivepier.gateway.serving.mover import Mover
 from chivepier.gateway.serving.plan import Plan
+from chivepier.gateway.targets import DecodeEstimator
 from chivepier.gateway.targets import Demand
-from chivepier.gateway.targets import LoadBoard
-from chivepier.gateway.targets import ReadingPace
-from chivepier.gateway.targets import SOON_TOKENS
-from chivepier.gateway.targets import StepPace
+from chivepier.gateway.targets import LoadTracker
+from chivepier.gateway.targets import NEAR_TERM_OUTPUT_TOKENS
+from chivepier.gateway.targets import PrefillEstimator
 from chivepier.gateway.targets import Target
 from chivepier.types import Clock
 
@@ -23,13 +23,13 @@
 
     def __init__(
         self,
-        board: LoadBoard,
+        board: LoadTracker,
         mover: Mover,
-        pace: ReadingPace,
+        pace: PrefillEstimator,
         clock: Clock,
     ):
         self._pace = pace
-        self._steps = StepPace()
+        self._steps = DecodeEstimator()
         self._board = board
         self._mover = mover
         self._clock = clock
@@ -43,11 +43,11 @@
         """
         demand = plan.demand or Demand(prompt=0, output=0)
         now = self._clock.monotonic()
-        load = self._board.total(target.instance, now)
+        load = self._board.get_total(target.instance, now)
         run = LiveRun(
             plan,
             target,
-            demand.soon,
+            demand.near_term_tokens,
             reading=demand.prompt,
             ahead=load.reading + demand.prompt,
             sent=now,
@@ -83,8 +83,8 @@
             run.began = self._clock.monotonic()
             if run.reading:
                 seconds = run.began - run.sent
-                self._pace.note(run.service.name, run.ahead, seconds)
-            self._board.change(run.target.instance, reading=-run.reading)
+                self._pace.record(run.service.name, run.ahead, seconds)
+            self._board.adjust_own(run.target.instance, reading=-run.reading)
 
     def estimate(self, plan: Plan) -> float:
         """Return how long a generation lasts at most, in seconds.
@@ -104,20 +104,20 @@
         if engine is not None and run.began is not None and not run.moved:
             tokens = run.number * engine.event_tokens
             seconds = self._clock.monotonic() - run.began
-            self._steps.note(run.service.name, tokens, seconds)
+            self._steps.record(run.service.name, tokens, seconds)
 
     def note_growth(self, run: LiveRun) -> None:
         """Count what a generation takes, once it has grown by some."""
         run.heard = self._clock.monotonic()
-        if run.held + SOON_TOKENS // 2 <= run.counted:
+        if run.held + NEAR_TERM_OUTPUT_TOKENS // 2 <= run.counted:
             return
-        grown = run.held + SOON_TOKENS - run.counted
+        grown = run.held + NEAR_TERM_OUTPUT_TOKENS - run.counted
         run.counted += grown
-        self._board.change(run.target.instance, tokens=grown)
+        self._board.adjust_own(run.target.instance, tokens=grown)
 
     def _count(self, run: LiveRun, sign: int) -> None:
         waits = run.began is None
-        self._board.change(
+        self._board.adjust_own(
             run.target.instance,
             runs=sign,
             tokens=sign * run.counted,
--- a/packages/gateway/src/chivepier/gateway/serving/sendgate.py
+++ b/packages/gateway/src/chivepier/gateway/serving/sendgate.py
@@ -7,7 +7,7 @@
 from chivepier.gateway.metrics import Metrics
 from chivepier.gateway.permits import Claim
 from chivepier.gateway.permits import Permit
-from chivepier.gateway.permits import Permits
+from chivepier.gateway.permits import SendLimiter
 from chivepier.gateway.serving.errand import Errand
 from chivepier.gateway.serving.errors import NotPermittedError
 from chivepier.gateway.targets import Target
@@ -43,7 +43,7 @@
         self,
         zones: Zones,
         table: TargetTable,
-        permits: Permits,
+        permits: SendLimiter,
         rests: RestBoard,
         freshness: Freshness,
         clock: Clock,
@@ -65,26 +65,26 @@
         self, service: Service, target: Target, claim: Claim
     ) -> Permit | None:
         """Return leave to send one request; ``None`` without it."""
-        return await self._permits.take(service, target, claim)
+        return await self._permits.acquire(service, target, claim)
 
     def find_rate(self, target: Target) -> float | None:
         """Return the rate that a target in need takes, if it names one."""
-        return self._permits.find_rate(target)
+        return self._permits.find_limit(target)
 
     @property
     def knows_limits(self) -> bool:
         """Whether any target is in need."""
-        return self._permits.knows_limits
+        return self._permits.has_limits
 
     def find_rates(
         self, targets: collections.abc.Iterable[Target]
     ) -> dict[str, float]:
         """Return the rates of those that are in need, by name."""
-        return self._permits.find_rates(targets)
+        return self._permits.find_limits(targets)
 
     def find_pause(self, target: Target, claim: Claim) -> float | None:
         """Return the seconds until a target in need is to be asked for."""
-        return self._permits.find_pause(target, claim)
+        return self._permits.find_backoff(target, claim)
 
     def check(self, target: Target, errand: Errand, permit: Permit) -> None:
         """Look once more, right before anything is sent.
@@ -109,13 +109,13 @@
         match errand:
             case Errand.START if self._zones.is_evacuated(target.zone, now):
                 return "evacuated"
-            case Errand.START if self._table.leaves(target.instance):
+            case Errand.START if self._table.is_leaving(target.instance):
                 return "leaving"
             case Errand.GO_ON if not self._may_go_to_zone(target, now):
                 return "evacuated"
         if self._find_rest(target, now) is not None:
             return "rest"
-        return "permit" if now > permit.until else None
+        return "permit" if now > permit.expires_at else None
 
     def _find_rest(self, target: Target, now: float) -> float | None:
         return self._rests.find_pause(target.instance, target.born, now)
--- a/packages/gateway/src/chivepier/gateway/serving/tests/parts.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/parts.py
@@ -24,9 +24,9 @@
 from chivepier.gateway.messages import QueueRecord
 from chivepier.gateway.metrics import Metrics
 from chivepier.gateway.permits import ColdBound
-from chivepier.gateway.permits import OwnPart
-from chivepier.gateway.permits import Permits
-from chivepier.gateway.permits import Turn
+from chivepier.gateway.permits import FallbackLimiter
+from chivepier.gateway.permits import SendDecision
+from chivepier.gateway.permits import SendLimiter
 from chivepier.gateway.quarantine import Ending
 from chivepier.gateway.quarantine import Life
 from chivepier.gateway.quarantine import Orders
@@ -49,10 +49,10 @@
 from chivepier.gateway.serving.tests.fakeengines import FakeCaller
 from chivepier.gateway.serving.tests.fakeengines import FakeEngines
 from chivepier.gateway.serving.tests.fakeengines import make_target
-from chivepier.gateway.targets import Chooser
-from chivepier.gateway.targets import Leavers
-from chivepier.gateway.targets import LoadBoard
-from chivepier.gateway.targets import QueueBoard
+from chivepier.gateway.targets import LeavingTargets
+from chivepier.gateway.targets import LoadBalancer
+from chivepier.gateway.targets import LoadTracker
+from chivepier.gateway.targets import QueueTracker
 from chivepier.gateway.targets import TargetHealth
 from chivepier.gateway.targets import TargetState
 from chivepier.gateway.targets import TargetTable
@@ -129,8 +129,8 @@
         self.engines = FakeEngines()
         self.zones = Zones(REGIONS)
         self.table = TargetTable(1.0, self.zones)
-        self.board = LoadBoard("e1")
-        self.queues = QueueBoard("e1", self.board.changed)
+        self.board = LoadTracker("e1")
+        self.queues = QueueTracker("e1", self.board.changed)
         self.health = TargetHealth()
         self.state = ServingState()
         clock = LoopClock()
@@ -139,7 +139,7 @@
         rng = random.Random(1)
         self.limits = LimitBoard("e1")
         self.rests = RestBoard(rng)
-        chooser = Chooser(
+        chooser = LoadBalancer(
             self.table,
             self.health,
             self.board,
@@ -151,14 +151,14 @@
         )
         self.permitted: bool | None = True
         self.asked: list[tuple[str, int]] = []
-        self.turn = Turn(True, 0.0)
+        self.turn = SendDecision(True, 0.0)
         self.claims: list[PermitRequest] = []
-        permits = Permits(
+        permits = SendLimiter(
             zones=self.zones,
             limits=self.limits,
             bound=ColdBound(1.5, 5.0),
             ask=self._answer_permit,
-            own=OwnPart(rng),
+            own=FallbackLimiter(rng),
             count_entries=lambda: self.state.entries,
             clock=clock,
             log=log,
@@ -174,7 +174,7 @@
             clock,
             Metrics(),
         )
-        self.leavers = Leavers(self.table)
+        self.leavers = LeavingTargets(self.table)
         remarks = Remarks(
             self.limits,
             self.rests,
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_guarding.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_guarding.py
@@ -179,7 +179,7 @@
     async def test(parts):
         parts.engines.full = {"a"}
         caller, task = parts.start(make_request("/llm/x"))
-        await wait_until(lambda: parts.queues.own())
+        await wait_until(lambda: parts.queues.list_own())
         parts.hold_back(make_request("/llm/x"))
         with pytest.raises(RequestError) as caught:
             await task
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_leaving.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_leaving.py
@@ -38,7 +38,7 @@
 def test_announcement_that_says_ready_changes_nothing():
     async def test(parts):
         answer_all(parts)
-        parts.leavers.note(make_target("w-a", "web"), 0.0)
+        parts.leavers.record(make_target("w-a", "web"), 0.0)
         for number in (1, 2, 3):
             again = make_target("w-a", "web")
             again.number = number
@@ -78,7 +78,7 @@
 def test_generations_move_off_a_target_that_leaves_by_its_answer():
     async def test(parts):
         caller, task, run = await begin(parts)
-        parts.leavers.note(make_target(run.target), 0.0)
+        parts.leavers.record(make_target(run.target), 0.0)
         again = await parts.engines.wait_run(2)
         assert again.target != run.target
         await finish(task, again, 2)
@@ -108,7 +108,7 @@
         stands = parts.engines.hold_connection("w-a")
         calls = [parts.start(make_request("/plain/x"))[1] for _ in range(6)]
         await asyncio.sleep(0.05)
-        parts.leavers.note(make_target("w-a", "web"), 0.0)
+        parts.leavers.record(make_target("w-a", "web"), 0.0)
         stands.set()
         await asyncio.gather(*calls)
         assert count_sends(parts, "w-a") == 0
@@ -119,7 +119,7 @@
 def test_callers_are_told_at_once_when_all_targets_leave():
     async def test(parts):
         for name in ("w-a", "w-b"):
-            parts.leavers.note(make_target(name, "web"), 0.0)
+            parts.leavers.record(make_target(name, "web"), 0.0)
         async with asyncio.timeout(0.5):
             failure = await fail(parts, make_request("/plain/x"))
         assert failure.kind is ErrorKind.NO_TARGET
@@ -135,18 +135,18 @@
         parts.restart("w-a", 5)
         new = parts.table.get("w-a")
         new.service = "web"
-        parts.leavers.note(old, 0.0)
+        parts.leavers.record(old, 0.0)
         await parts.serve(make_request("/plain/x"))
         assert count_sends(parts, "w-a") == 1
-        assert not parts.table.leaves("w-a")
+        assert not parts.table.is_leaving("w-a")
 
     play(test, "a")
 
 
 def test_word_that_comes_before_the_target_is_known_counts():
     async def test(parts):
-        parts.leavers.note(make_target("w-z", "web"), 0.0)
+        parts.leavers.record(make_target("w-z", "web"), 0.0)
         parts.table.put(make_target("w-z", "web"))
-        assert parts.table.leaves("w-z")
+        assert parts.table.is_leaving("w-z")
 
     play(test)
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_limits.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_limits.py
@@ -9,7 +9,7 @@
 from chivepier.gateway.limits import NoLimit
 from chivepier.gateway.limits import RateLimit
 from chivepier.gateway.permits import Claim
-from chivepier.gateway.permits import Turn
+from chivepier.gateway.permits import SendDecision
 from chivepier.gateway.serving import AnswerFacts
 from chivepier.gateway.serving.tests.parts import begin
 from chivepier.gateway.serving.tests.parts import ENGINE
@@ -22,7 +22,7 @@
 from chivepier.types import Ran
 
 RESERVING = attrs.evolve(ENGINE, reserve_seconds=1.0)
-REFUSED = Turn(False, 5.0)
+REFUSED = SendDecision(False, 5.0)
 
 
 async def answer_plain(parts, count: int = 1) -> list[str]:
@@ -103,7 +103,7 @@
         parts.name_limit("w-a", 0.5)
         parts.name_limit("w-b", 0.5)
         parts.turn = REFUSED
-        parts.dispatcher.chooser.avoid("w-c")
+        parts.dispatcher.chooser.avoid_unreachable("w-c")
         assert await answer_plain(parts) == ["w-c"]
 
     play(test, "a", "b", "c")
@@ -213,7 +213,7 @@
         await finish(task, run, 1)
         assert run.target == "t9"
         # it was never counted among those that wait
-        assert parts.queues.own() == []
+        assert parts.queues.list_own() == []
 
     play(test, *(f"t{n}" for n in range(10)), engine=RESERVING)
 
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_placing.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_placing.py
@@ -53,12 +53,12 @@
     async def test(parts):
         parts.engines.full = {"a", "b"}
         caller, task = parts.start(make_request())
-        await wait_until(lambda: parts.queues.ahead("llm", 9, 0.0) == 1)
+        await wait_until(lambda: parts.queues.count_ahead("llm", 9, 0.0) == 1)
         assert not parts.engines.orders
         parts.engines.full = {"a"}
         answer = await parts.engines.wait_run(1)
         assert answer.target == "b"
-        assert parts.queues.ahead("llm", 9, 0.0) == 0
+        assert parts.queues.count_ahead("llm", 9, 0.0) == 0
         answer.make()
         answer.end()
         await task
@@ -117,12 +117,12 @@
     """
 
     async def test(parts):
-        parts.dispatcher.chooser.pace.note("llm", 100, reading)
-        parts.board.change("a", tokens=100_000 - 400)
+        parts.dispatcher.chooser.prefill_estimator.record("llm", 100, reading)
+        parts.board.adjust_own("a", tokens=100_000 - 400)
         parts.say_waiting("other", "llm", rank=3, waiting=1)
         arrived = make_request().arrived - waited
         caller, task = parts.start(make_request(arrived=arrived))
-        await wait_until(lambda: parts.queues.own())
+        await wait_until(lambda: parts.queues.list_own())
         await asyncio.sleep(0.25)
         assert not parts.engines.orders
         parts.say_waiting("other", "llm", rank=3, waiting=0)
@@ -138,13 +138,13 @@
     # New requests took the room that generations of a leaving target needed
     # within its notice, and those were cut off.
     async def test(parts):
-        parts.board.change("a", tokens=100_000 - 400)
-        parts.board.change("b", runs=1, tokens=300)
+        parts.board.adjust_own("a", tokens=100_000 - 400)
+        parts.board.adjust_own("b", runs=1, tokens=300)
         parts.leave("b")
         caller, task = parts.start(make_request())
-        await wait_until(lambda: parts.queues.own())
+        await wait_until(lambda: parts.queues.list_own())
         assert not parts.engines.orders
-        parts.board.change("b", runs=-1, tokens=-300)
+        parts.board.adjust_own("b", runs=-1, tokens=-300)
         answer = await parts.engines.wait_run(1)
         answer.make()
         answer.end()
@@ -164,9 +164,9 @@
 def test_prompts_that_come_at_once_are_not_all_read_at_one_target():
     # The only target with room read all prompts, one after the other.
     async def test(parts):
-        parts.dispatcher.chooser.pace.note("llm", 1_000, 2.0)
+        parts.dispatcher.chooser.prefill_estimator.record("llm", 1_000, 2.0)
         started = [parts.start(make_request(id=f"r{n}")) for n in range(5)]
-        await wait_until(lambda: parts.queues.ahead("llm", 9, 0.0) == 3)
+        await wait_until(lambda: parts.queues.count_ahead("llm", 9, 0.0) == 3)
         assert len(parts.engines.answers) == 2
         for count in range(1, 6):
             answer = await parts.engines.wait_run(count)
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_remarks.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_remarks.py
@@ -18,7 +18,7 @@
 from chivepier.gateway.serving import Remarks
 from chivepier.gateway.serving.remarks import MOST_UNREAD
 from chivepier.gateway.serving.tests.fakeengines import make_target
-from chivepier.gateway.targets import Leavers
+from chivepier.gateway.targets import LeavingTargets
 from chivepier.gateway.targets import TargetTable
 from chivepier.types import ManualClock
 
@@ -34,7 +34,7 @@
         self.rests = RestBoard(random.Random(1))
         self.clock = ManualClock()
         self.table = TargetTable(1.0)
-        self.leavers = Leavers(self.table)
+        self.leavers = LeavingTargets(self.table)
         self.remarks = Remarks(
             self.limits,
             self.rests,
@@ -124,7 +124,7 @@
         noted.take(leaving=True)
     (line,) = noted.read_lines()
     assert (line["event"], line["target"]) == ("leaving_told", "i1")
-    assert noted.table.leaves("i1")
+    assert noted.table.is_leaving("i1")
 
 
 def test_another_instance_at_the_address_says_that_it_leaves_itself():
@@ -132,6 +132,6 @@
     noted.table.put(make_target("i1"))
     noted.table.put(make_target("i2"))
     noted.take(leaving=True, other_instance="i2")
-    assert noted.table.leaves("i2") and not noted.table.leaves("i1")
+    assert noted.table.is_leaving("i2") and not noted.table.is_leaving("i1")
     noted.take(leaving=True, other_instance="")
-    assert not noted.table.leaves("i1")
+    assert not noted.table.is_leaving("i1")
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_zonerules.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_zonerules.py
@@ -106,7 +106,7 @@
         put(parts, "a1", "a")
         parts.engines.full = {"a1"}
         _, task = parts.start(make_request("/llm/x"))
-        await wait_until(lambda: parts.queues.own())
+        await wait_until(lambda: parts.queues.list_own())
         parts.evacuate("a")
         parts.engines.full = set()
         parts.engines.reserved.clear()
@@ -285,14 +285,22 @@
     async def test(parts):
         parts.configure(version=2, services=SERVICES)
         before = tell_time() - 0.001
-        put(parts, "w-a1", "a", "web", heard=before, said=before)
+        put(parts, "w-a1", "a", "web", heard=before, announced_at=before)
         parts.engines.failing["w-a1"] = 200
         parts.evacuate("a")
         parts.readmit("a")
         await parts.serve(make_request("/plain/x"))
         assert len(parts.asked) == 1
         later = tell_time() + 0.001
-        put(parts, "w-a1", "a", "web", heard=later, said=later, number=2)
+        put(
+            parts,
+            "w-a1",
+            "a",
+            "web",
+            heard=later,
+            announced_at=later,
+            number=2,
+        )
         await parts.serve(make_request("/plain/x"))
         assert len(parts.asked) == 1
 
--- a/packages/gateway/src/chivepier/gateway/targets/demand.py
+++ b/packages/gateway/src/chivepier/gateway/targets/demand.py
@@ -4,7 +4,7 @@
 
 # Tokens that a generation is expected to add before others beside it have
 # ended; its whole length is not known.
-SOON_TOKENS = 256
+NEAR_TERM_OUTPUT_TOKENS = 256
 
 
 @attrs.frozen(kw_only=True)
@@ -26,6 +26,6 @@
         return self.prompt + self.output
 
     @property
-    def soon(self) -> int:
+    def near_term_tokens(self) -> int:
         """Memory taken within the next seconds, in tokens."""
-        return self.prompt + min(self.output, SOON_TOKENS)
+        return self.prompt + min(self.output, NEAR_TERM_OUTPUT_TOKENS)
--- a/packages/gateway/src/chivepier/gateway/targets/loadshare.py
+++ b/packages/gateway/src/chivepier/gateway/targets/entryload.py
@@ -4,7 +4,7 @@
 
 
 @attrs.define
-class LoadShare:
+class EntryLoad:
     """Absolute counts, as :class:`LoadRecord` carries them.
 
     :param avoided_until: until when this entry avoids the target, in
@@ -15,8 +15,8 @@
     runs: int = 0
     tokens: int = 0
     reading: int = 0
-    turn: int = 0
-    copying: bool = False
+    copy_ms: int = 0
+    is_copying: bool = False
     receiving: int = 0
     avoiding: int = 0
     avoided_until: float = 0.0
@@ -29,8 +29,8 @@
             self.runs,
             self.tokens,
             self.reading,
-            self.turn,
-            self.copying,
+            self.copy_ms,
+            self.is_copying,
             self.receiving,
             self.avoiding,
         )
--- a/packages/gateway/src/chivepier/gateway/targets/leavers.py
+++ b/packages/gateway/src/chivepier/gateway/targets/leavingtargets.py
@@ -6,7 +6,7 @@
 from chivepier.types import Signal
 
 
-class Leavers:
+class LeavingTargets:
     """Takes what answers say, and keeps it to be told to the voters.
 
     An answer may come before the target's own announcement, or in its place:
@@ -17,30 +17,30 @@
 
     def __init__(self, table: TargetTable):
         self._table = table
-        self._told: dict[str, Target] = {}
+        self._unconfirmed: dict[str, Target] = {}
         self.changed = Signal()
 
-    def note(self, target: Target, now: float) -> bool:
+    def record(self, target: Target, now: float) -> bool:
         """Take that a target said in an answer that it leaves.
 
         :param target: as it was known when it was sent to
         :param now: monotonic seconds
         :returns: whether it was news
         """
-        news = self._table.note_leaving(target.instance, target.born, now)
+        news = self._table.mark_leaving(target.instance, target.born, now)
         if news:
-            self._told[target.instance] = target
+            self._unconfirmed[target.instance] = target
             self.changed.set()
         return news
 
-    def find(self) -> list[Target]:
+    def list_unconfirmed(self) -> list[Target]:
         """Return those that the voters are to be told of."""
-        for instance, target in list(self._told.items()):
+        for instance, target in list(self._unconfirmed.items()):
             known = self._table.get(instance)
             if (
                 known is None
                 or known.born != target.born
                 or known.state is TargetState.GONE
             ):
-                del self._told[instance]
-        return list(self._told.values())
+                del self._unconfirmed[instance]
+        return list(self._unconfirmed.values())
--- a/packages/gateway/src/chivepier/gateway/targets/chooser.py
+++ b/packages/gateway/src/chivepier/gateway/targets/loadbalancer.py
@@ -8,8 +8,8 @@
 from chivepier.gateway.limits import RestBoard
 from chivepier.gateway.targets.demand import Demand
 from chivepier.gateway.targets.load import Load
-from chivepier.gateway.targets.loadboard import LoadBoard
-from chivepier.gateway.targets.readingpace import ReadingPace
+from chivepier.gateway.targets.loadtracker import LoadTracker
+from chivepier.gateway.targets.prefillestimator import PrefillEstimator
 from chivepier.gateway.targets.target import Target
 from chivepier.gateway.targets.targethealth import TargetHealth
 from chivepier.gateway.targets.targettable import TargetTable
@@ -17,36 +17,36 @@
 
 # Choices that differ by less than this share of a target are drawn among: many
 # entries see the same loads and would all pick one.
-NEAR = 0.04
+TIE_MARGIN = 0.04
 # Targets that are drawn for each generation, of which the best is taken: one
 # that has just started would get all that comes before its load is known.
-SAMPLED = 3
+SAMPLE_SIZE = 3
 # What a token of a prompt that is still to be read counts as: by memory alone,
 # a target that has just started would get every prompt.
-READING_WEIGHT = 3.0
+PREFILL_WEIGHT = 3.0
 # What a target that still warms up counts as, in shares of a full one.
 WARMING_COST = 0.2
 # What another availability zone counts as when memory is moved, in shares of a
 # target for each second that is still to be copied off the source.
-FAR_COST = 0.4
+OTHER_ZONE_COST_PER_SECOND = 0.4
 # What a target counts as for each copy that it receives already, as copies
 # share its link.
 RECEIVING_COST = 0.5
 # What a target in need counts as when memory is moved, in shares of a full
 # one: more than any other, as the generation would have to wait for its turn.
-LIMITED_COST = 10.0
+RATE_LIMITED_COST = 10.0
 # Generations may fill a target up to this share of its memory, each with what
 # it adds within some seconds.
-FULL_SHARE = 1.0
+MAX_MEMORY_SHARE = 1.0
 # Share of its objective that a prompt may take to be read at a target, with
 # those before it. What waits at its entry can still go elsewhere.
-READING_SHARE = 0.5
+MAX_PREFILL_SHARE = 0.5
 # Entries whose word makes the others avoid a target; of fewer, each may have
 # lost its own link.
-MOST_AVOIDING = 3
+MIN_AVOIDING_ENTRIES = 3
 
 
-class Chooser:
+class LoadBalancer:
     """Picks the target with the most room, by loads of all entries.
 
     ``pace`` learns from first events how fast prompts are read; what bounds
@@ -66,7 +66,7 @@
         self,
         table: TargetTable,
         health: TargetHealth,
-        board: LoadBoard,
+        board: LoadTracker,
         zone: str,
         clock: Clock,
         rng: random.Random,
@@ -77,35 +77,37 @@
         self._limits = LimitBoard() if limits is None else limits
         self._table = table
         self._health = health
-        self._board = board
+        self._loads = board
         self._zone = zone
         self._clock = clock
         self._rng = rng
-        self.pace = ReadingPace()
-        self._busy: dict[str, int] = {}
+        self.prefill_estimator = PrefillEstimator()
+        self._in_flight: dict[str, int] = {}
 
-    def avoid(self, instance: str) -> None:
+    def avoid_unreachable(self, instance: str) -> None:
         """Note that a target could not be reached or fell silent.
 
         :param instance: that this entry avoids for a while; the others are
             told
         """
         now = self._clock.monotonic()
-        self._board.avoid(instance, self._health.note_silence(instance, now))
+        self._loads.avoid(
+            instance, self._health.record_unreachable(instance, now)
+        )
 
-    def begin(self, instance: str) -> None:
+    def record_start(self, instance: str) -> None:
         """Note that this entry sent a request to a target."""
-        self._busy[instance] = self._busy.get(instance, 0) + 1
+        self._in_flight[instance] = self._in_flight.get(instance, 0) + 1
 
-    def end(self, instance: str) -> None:
+    def record_end(self, instance: str) -> None:
         """Note that a request there has ended."""
-        left = self._busy.get(instance, 0) - 1
+        left = self._in_flight.get(instance, 0) - 1
         if left > 0:
-            self._busy[instance] = left
+            self._in_flight[instance] = left
         else:
-            self._busy.pop(instance, None)
+            self._in_flight.pop(instance, None)
 
-    def is_open(self, target: Target) -> bool:
+    def is_zone_open(self, target: Target) -> bool:
         """Tell whether anything may be sent to a target's zone."""
         now = self._clock.monotonic()
         return not self._table.zones.is_evacuated(target.zone, now)
@@ -145,35 +147,37 @@
         :param regions: that the request may reach; ``None`` for all
         """
         now = self._clock.monotonic()
-        sound = self._select_sound(service, without, now, regions)
+        healthy = self._select_healthy(service, without, now, regions)
         costs = {
-            t.instance: self._cost(t, engine, demand, now)
-            for t in sound
+            t.instance: self._get_cost(t, engine, demand, now)
+            for t in healthy
             if not roomy or self.has_room(t, engine, demand)
         }
         if not costs:
             return []
-        order = self._draw(costs, sample=engine is not None)
-        chosen = [t for t in sound if t.instance in order]
+        order = self._draw_order(costs, sample=engine is not None)
+        chosen = [t for t in healthy if t.instance in order]
         return sorted(chosen, key=lambda t: order[t.instance])
 
-    def _select_sound(
+    def _select_healthy(
         self,
         service: str,
         without: collections.abc.Collection[str],
         now: float,
         regions: collections.abc.Collection[str] | None,
     ) -> list[Target]:
-        found = self._select_awake(service, now, regions)
+        found = self._select_not_resting(service, now, regions)
         candidates = [t for t in found if t.instance not in without]
         if not candidates:
             return []
-        sound = self._health.pick_sound([t.instance for t in candidates], now)
-        return self._leave_avoided(
-            [t for t in candidates if t.instance in sound], now
+        healthy = self._health.select_healthy(
+            [t.instance for t in candidates], now
+        )
+        return self._exclude_avoided(
+            [t for t in candidates if t.instance in healthy], now
         )
 
-    def _select_awake(
+    def _select_not_resting(
         self,
         service: str,
         now: float,
@@ -183,9 +187,9 @@
         found = self._table.select(service, now, regions)
         if not self._rests:
             return found
-        return [t for t in found if self._find_pause(t, now) is None]
+        return [t for t in found if self._find_rest(t, now) is None]
 
-    def _find_pause(self, target: Target, now: float) -> float | None:
+    def _find_rest(self, target: Target, now: float) -> float | None:
         return self._rests.find_pause(target.instance, target.born, now)
 
     def select(
@@ -198,9 +202,11 @@
         :param service: whose targets
         :param regions: that the request may reach; ``None`` for all
         """
-        return self._select_awake(service, self._clock.monotonic(), regions)
+        return self._select_not_resting(
+            service, self._clock.monotonic(), regions
+        )
 
-    def find_rest(
+    def find_shortest_rest(
         self,
         service: str,
         regions: collections.abc.Collection[str] | None = None,
@@ -216,19 +222,19 @@
             return None
         now = self._clock.monotonic()
         found = self._table.select(service, now, regions)
-        pauses = [self._find_pause(target, now) for target in found]
+        pauses = [self._find_rest(target, now) for target in found]
         if not pauses or None in pauses:
             return None
         return min(pauses)
 
-    def _leave_avoided(self, targets: list[Target], now: float) -> list:
+    def _exclude_avoided(self, targets: list[Target], now: float) -> list:
         """Leave out what several entries avoid, more than the others.
 
         Entries that are cut off avoid all targets: the least avoided one
         counts as sound.
         """
-        counts = [self._board.count_avoiding(t.instance, now) for t in targets]
-        most = min(counts) + MOST_AVOIDING
+        counts = [self._loads.count_avoiding(t.instance, now) for t in targets]
+        most = min(counts) + MIN_AVOIDING_ENTRIES
         return [t for t, count in zip(targets, counts) if count < most]
 
     def choose_destination(
@@ -254,46 +260,53 @@
         :returns: the target; ``None`` when none has room
         """
         now = self._clock.monotonic()
-        far_cost = FAR_COST * self._board.pending(source.instance, now)
+        far_cost = (
+            OTHER_ZONE_COST_PER_SECOND
+            * self._loads.get_pending_copy_seconds(source.instance, now)
+        )
         costs = {}
-        for target in self._select_sound(service, without, now, regions):
-            load = self._board.total(target.instance, now)
+        for target in self._select_healthy(service, without, now, regions):
+            load = self._loads.get_total(target.instance, now)
             held = (load.tokens + tokens) / engine.memory_tokens
-            if held <= FULL_SHARE:
+            if held <= MAX_MEMORY_SHARE:
                 far = 0.0 if target.zone == source.zone else far_cost
                 costs[target.instance] = (
                     held
                     + far
                     + RECEIVING_COST * load.receiving
-                    + self._cost_limit(target)
+                    + self._get_rate_limit_cost(target)
                 )
         if not costs:
             return None
-        order = self._draw(costs, sample=False)
+        order = self._draw_order(costs, sample=False)
         return self._table.get(min(costs, key=lambda name: order[name]))
 
-    def _cost_limit(self, target: Target) -> float:
+    def _get_rate_limit_cost(self, target: Target) -> float:
         rate = self._limits.find_rate(target.instance, target.born)
-        return 0.0 if rate is None else LIMITED_COST
+        return 0.0 if rate is None else RATE_LIMITED_COST
 
-    def _draw(
+    def _draw_order(
         self, costs: dict[str, float], sample: bool
     ) -> dict[str, tuple[bool, float]]:
         """Return what the targets are sorted by."""
         least = min(costs.values())
         names = list(costs)
         first = set(names)
-        if sample and len(names) > SAMPLED:
-            first = set(self._rng.sample(names, SAMPLED))
+        if sample and len(names) > SAMPLE_SIZE:
+            first = set(self._rng.sample(names, SAMPLE_SIZE))
         return {
             name: (
                 name not in first,
-                self._rng.random() if cost <= least + NEAR else 1.0 + cost,
+                (
+                    self._rng.random()
+                    if cost <= least + TIE_MARGIN
+                    else 1.0 + cost
+                ),
             )
             for name, cost in costs.items()
         }
 
-    def _cost(
+    def _get_cost(
         self,
         target: Target,
         engine: Engine | None,
@@ -301,8 +314,8 @@
         now: float,
     ) -> float:
         if engine is None or demand is None:
-            return self._cost_plain(target, now)
-        return self._cost_engine(target, engine, demand, now)
+            return self._get_request_cost(target, now)
+        return self._get_generation_cost(target, engine, demand, now)
 
     def has_room(self, target: Target, engine: Engine, demand: Demand) -> bool:
         """Tell whether all there fits for some seconds, one more included.
@@ -311,21 +324,24 @@
         grown: it then preempts the newest, and reads it in again.
         """
         now = self._clock.monotonic()
-        load = self._board.total(target.instance, now)
-        if load.tokens + demand.soon > FULL_SHARE * engine.memory_tokens:
+        load = self._loads.get_total(target.instance, now)
+        if (
+            load.tokens + demand.near_term_tokens
+            > MAX_MEMORY_SHARE * engine.memory_tokens
+        ):
             return False
         if not load.reading:
             return True
-        seconds = self.pace.estimate(
+        seconds = self.prefill_estimator.estimate(
             target.service, load.reading + demand.prompt
         )
-        return seconds <= READING_SHARE * demand.objective
+        return seconds <= MAX_PREFILL_SHARE * demand.objective
 
     def find_load(self, instance: str) -> Load:
         """Return what all entries run at a target."""
-        return self._board.total(instance, self._clock.monotonic())
+        return self._loads.get_total(instance, self._clock.monotonic())
 
-    def count_places(
+    def count_free_places(
         self,
         service: str,
         engine: Engine,
@@ -341,10 +357,10 @@
         """
         now = self._clock.monotonic()
         places = 0
-        for target in self._select_awake(service, now, regions):
-            tokens = self._board.total(target.instance, now).tokens
-            spare = max(0.0, FULL_SHARE * engine.memory_tokens - tokens)
-            places += int(spare // max(1, demand.soon))
+        for target in self._select_not_resting(service, now, regions):
+            tokens = self._loads.get_total(target.instance, now).tokens
+            spare = max(0.0, MAX_MEMORY_SHARE * engine.memory_tokens - tokens)
+            places += int(spare // max(1, demand.near_term_tokens))
         return places
 
     def count_leaving(self, service: str) -> int:
@@ -354,22 +370,26 @@
         """
         now = self._clock.monotonic()
         return sum(
-            self._board.total(target.instance, now).runs
+            self._loads.get_total(target.instance, now).runs
             for target in self._table.select_leaving(service)
         )
 
-    def _cost_plain(self, target: Target, now: float) -> float:
-        busy = self._busy.get(target.instance, 0) / max(1, target.slots)
-        cost = busy + self._health.slowness(target.instance, now)
+    def _get_request_cost(self, target: Target, now: float) -> float:
+        busy = self._in_flight.get(target.instance, 0) / max(1, target.slots)
+        cost = busy + self._health.get_latency_ratio(target.instance, now)
         if now < target.warm_at:
             cost += WARMING_COST
         return cost
 
-    def _cost_engine(
+    def _get_generation_cost(
         self, target: Target, engine: Engine, demand: Demand, now: float
     ) -> float:
-        load = self._board.total(target.instance, now)
-        tokens = load.tokens + demand.soon + READING_WEIGHT * load.reading
+        load = self._loads.get_total(target.instance, now)
+        tokens = (
+            load.tokens
+            + demand.near_term_tokens
+            + PREFILL_WEIGHT * load.reading
+        )
         memory = tokens / engine.memory_tokens
         cost = max(memory, (load.runs + 1) / engine.slots)
         if now < target.warm_at:
--- a/packages/gateway/src/chivepier/gateway/targets/loadboard.py
+++ b/packages/gateway/src/chivepier/gateway/targets/loadtracker.py
@@ -3,26 +3,26 @@
 import collections
 
 from chivepier.gateway.messages import LoadRecord
+from chivepier.gateway.targets.entryload import EntryLoad
 from chivepier.gateway.targets.load import Load
-from chivepier.gateway.targets.loadshare import LoadShare
 from chivepier.types import Signal
 
 # Seconds after which what an entry last said no longer counts. Entries
 # repeat themselves every second; three losses in a row are no accident.
-EXPIRY = 3.5
+REPORT_EXPIRY_SECONDS = 3.5
 
 
-class LoadBoard:
+class LoadTracker:
     """Absolute counts by entry and target; a lost message heals itself.
 
     :param me: this entry's name
     """
 
     def __init__(self, me: str):
-        self.me = me
+        self.own_entry = me
         self.changed = Signal()
-        self._shares: dict[str, dict[str, LoadShare]] = (
-            collections.defaultdict(dict)
+        self._loads: dict[str, dict[str, EntryLoad]] = collections.defaultdict(
+            dict
         )
 
     def put(self, record: LoadRecord, now: float) -> None:
@@ -31,9 +31,9 @@
         :param record: its counts
         :param now: monotonic seconds
         """
-        if record.entry == self.me:
+        if record.entry == self.own_entry:
             return
-        self._shares[record.instance][record.entry] = LoadShare(
+        self._loads[record.instance][record.entry] = EntryLoad(
             record.runs,
             record.tokens,
             record.reading,
@@ -44,15 +44,17 @@
             heard=now,
         )
 
-    def drop_others(self) -> None:
+    def drop_all_remote(self) -> None:
         """Forget all other entries, which are about to be told anew."""
-        for instance, entries in list(self._shares.items()):
-            if self.me in entries:
-                self._shares[instance] = {self.me: entries[self.me]}
+        for instance, entries in list(self._loads.items()):
+            if self.own_entry in entries:
+                self._loads[instance] = {
+                    self.own_entry: entries[self.own_entry]
+                }
             else:
-                del self._shares[instance]
+                del self._loads[instance]
 
-    def change(
+    def adjust_own(
         self,
         instance: str,
         runs: int = 0,
@@ -61,23 +63,23 @@
         receiving: int = 0,
     ) -> None:
         """Add to what this entry itself runs at a target."""
-        share = self._shares[instance].setdefault(self.me, LoadShare())
-        share.runs += runs
-        share.tokens += tokens
-        share.reading += reading
-        share.receiving += receiving
+        load = self._loads[instance].setdefault(self.own_entry, EntryLoad())
+        load.runs += runs
+        load.tokens += tokens
+        load.reading += reading
+        load.receiving += receiving
         self.changed.set()
 
-    def take_turn(self, instance: str, milliseconds: int) -> None:
+    def set_copy_time(self, instance: str, milliseconds: int) -> None:
         """Say how long this entry copies memory off a leaving target."""
-        share = self._shares[instance].setdefault(self.me, LoadShare())
-        share.turn = milliseconds
+        load = self._loads[instance].setdefault(self.own_entry, EntryLoad())
+        load.copy_ms = milliseconds
         self.changed.set()
 
-    def note_copying(self, instance: str, copying: bool) -> None:
+    def set_copying(self, instance: str, copying: bool) -> None:
         """Say whether this entry copies memory off a target now."""
-        share = self._shares[instance].setdefault(self.me, LoadShare())
-        share.copying = copying
+        load = self._loads[instance].setdefault(self.own_entry, EntryLoad())
+        load.is_copying = copying
         self.changed.set()
 
     def avoid(self, instance: str, until: float) -> None:
@@ -86,8 +88,8 @@
         :param instance: the target's
         :param until: in monotonic seconds
         """
-        share = self._shares[instance].setdefault(self.me, LoadShare())
-        share.avoiding, share.avoided_until = 1, until
+        load = self._loads[instance].setdefault(self.own_entry, EntryLoad())
+        load.avoiding, load.avoided_until = 1, until
         self.changed.set()
 
     def expire_avoiding(self, now: float) -> None:
@@ -95,10 +97,10 @@
 
         :param now: monotonic seconds
         """
-        for entries in self._shares.values():
-            share = entries.get(self.me)
-            if share is not None and now >= share.avoided_until:
-                share.avoiding = 0
+        for entries in self._loads.values():
+            load = entries.get(self.own_entry)
+            if load is not None and now >= load.avoided_until:
+                load.avoiding = 0
 
     def count_avoiding(self, instance: str, now: float) -> int:
         """Return how many entries send nothing to a target.
@@ -107,34 +109,39 @@
         :param now: monotonic seconds
         """
         count = 0
-        for entry, share in self._shares.get(instance, {}).items():
-            if entry == self.me:
-                count += now < share.avoided_until
-            elif now - share.heard < EXPIRY:
-                count += share.avoiding
+        for entry, load in self._loads.get(instance, {}).items():
+            if entry == self.own_entry:
+                count += now < load.avoided_until
+            elif now - load.heard < REPORT_EXPIRY_SECONDS:
+                count += load.avoiding
         return count
 
-    def own(self) -> list[LoadRecord]:
+    def list_own(self) -> list[LoadRecord]:
         """Return what this entry runs, by target."""
         return [
-            LoadRecord(self.me, instance, *entries[self.me].counts)
-            for instance, entries in self._shares.items()
-            if self.me in entries
+            LoadRecord(
+                self.own_entry, instance, *entries[self.own_entry].counts
+            )
+            for instance, entries in self._loads.items()
+            if self.own_entry in entries
         ]
 
-    def total(self, instance: str, now: float) -> Load:
+    def get_total(self, instance: str, now: float) -> Load:
         """Return what runs at a target over all entries.
 
         :param instance: the target's
         :param now: monotonic seconds
         """
         runs = tokens = reading = receiving = 0
-        for entry, share in self._shares.get(instance, {}).items():
-            if entry == self.me or now - share.heard < EXPIRY:
-                runs += share.runs
-                tokens += share.tokens
-                reading += share.reading
-                receiving += share.receiving
+        for entry, load in self._loads.get(instance, {}).items():
+            if (
+                entry == self.own_entry
+                or now - load.heard < REPORT_EXPIRY_SECONDS
+            ):
+                runs += load.runs
+                tokens += load.tokens
+                reading += load.reading
+                receiving += load.receiving
         return Load(
             runs=runs,
             tokens=tokens,
@@ -142,7 +149,7 @@
             receiving=receiving,
         )
 
-    def pending(self, instance: str, now: float) -> float:
+    def get_pending_copy_seconds(self, instance: str, now: float) -> float:
         """Return what all entries have still to copy off a target.
 
         :param instance: the target's
@@ -150,13 +157,14 @@
         :returns: seconds of its link, as if all went to other zones
         """
         milliseconds = sum(
-            share.turn
-            for entry, share in self._shares.get(instance, {}).items()
-            if entry == self.me or now - share.heard < EXPIRY
+            load.copy_ms
+            for entry, load in self._loads.get(instance, {}).items()
+            if entry == self.own_entry
+            or now - load.heard < REPORT_EXPIRY_SECONDS
         )
         return milliseconds / 1000
 
-    def before(self, instance: str, now: float) -> int:
+    def get_copy_wait_ms(self, instance: str, now: float) -> int:
         """Return what is copied before this entry's turn.
 
         Entries go in the order of their names, but one that copies already
@@ -167,23 +175,27 @@
         :returns: milliseconds
         """
         return sum(
-            share.turn
-            for entry, share in self._shares.get(instance, {}).items()
-            if (entry < self.me or entry != self.me and share.copying)
-            and now - share.heard < EXPIRY
+            load.copy_ms
+            for entry, load in self._loads.get(instance, {}).items()
+            if (
+                entry < self.own_entry
+                or entry != self.own_entry
+                and load.is_copying
+            )
+            and now - load.heard < REPORT_EXPIRY_SECONDS
         )
 
     def drop_own(self, instance: str) -> None:
         """Drop this entry's count where it runs nothing any more."""
-        entries = self._shares.get(instance, {})
-        entries.pop(self.me, None)
+        entries = self._loads.get(instance, {})
+        entries.pop(self.own_entry, None)
         if not entries:
-            self._shares.pop(instance, None)
+            self._loads.pop(instance, None)
 
-    def forget(self, instance: str) -> None:
+    def drop_remote(self, instance: str) -> None:
         """Drop what other entries run at a target that is gone."""
-        own = self._shares.get(instance, {}).get(self.me)
+        own = self._loads.get(instance, {}).get(self.own_entry)
         if own is None:
-            self._shares.pop(instance, None)
+            self._loads.pop(instance, None)
         else:
-            self._shares[instance] = {self.me: own}
+            self._loads[instance] = {self.own_entry: own}
--- a/packages/gateway/src/chivepier/gateway/targets/readingpace.py
+++ b/packages/gateway/src/chivepier/gateway/targets/prefillestimator.py
@@ -5,10 +5,10 @@
 
 # First events that count. Their median stands for the service, as one that
 # waited for memory takes many times as long a token.
-KEPT = 9
+MAX_SAMPLES = 9
 
 
-class ReadingPace:
+class PrefillEstimator:
     """Median seconds a token, from a request's send to its first event.
 
     Targets read prompts in chunks between the steps of what runs there, so
@@ -16,10 +16,10 @@
     """
 
     def __init__(self) -> None:
-        self._seen: dict[str, collections.deque[float]] = {}
+        self._samples: dict[str, collections.deque[float]] = {}
         self._median: dict[str, float] = {}
 
-    def note(self, service: str, tokens: int, seconds: float) -> None:
+    def record(self, service: str, tokens: int, seconds: float) -> None:
         """Note a first event.
 
         :param service: whose target it came from
@@ -28,7 +28,9 @@
         """
         if tokens <= 0 or seconds <= 0:
             return
-        seen = self._seen.setdefault(service, collections.deque(maxlen=KEPT))
+        seen = self._samples.setdefault(
+            service, collections.deque(maxlen=MAX_SAMPLES)
+        )
         seen.append(seconds / tokens)
         self._median[service] = statistics.median(seen)
 
--- a/packages/gateway/src/chivepier/gateway/targets/queueboard.py
+++ b/packages/gateway/src/chivepier/gateway/targets/queuetracker.py
@@ -3,11 +3,11 @@
 import collections
 
 from chivepier.gateway.messages import QueueRecord
-from chivepier.gateway.targets.loadboard import EXPIRY
+from chivepier.gateway.targets.loadtracker import REPORT_EXPIRY_SECONDS
 from chivepier.types import Signal
 
 
-class QueueBoard:
+class QueueTracker:
     """Requests that wait, by service and rank; the lowest rank goes first.
 
     Each entry looks for room by itself. Without knowing what waits at the
@@ -19,10 +19,10 @@
     """
 
     def __init__(self, me: str, changed: Signal):
-        self.me = me
+        self.own_entry = me
         self._changed = changed
         self._own: collections.Counter[tuple[str, int]] = collections.Counter()
-        self._others: dict[tuple[str, int], dict[str, tuple[int, float]]] = (
+        self._remote: dict[tuple[str, int], dict[str, tuple[int, float]]] = (
             collections.defaultdict(dict)
         )
 
@@ -42,25 +42,25 @@
         :param record: its count
         :param now: monotonic seconds
         """
-        if record.entry != self.me:
+        if record.entry != self.own_entry:
             key = (record.service, record.rank)
-            self._others[key][record.entry] = (record.waiting, now)
+            self._remote[key][record.entry] = (record.waiting, now)
 
-    def drop_others(self) -> None:
+    def drop_all_remote(self) -> None:
         """Forget all other entries, which are about to be told anew."""
-        self._others.clear()
+        self._remote.clear()
 
-    def own(self) -> list[QueueRecord]:
+    def list_own(self) -> list[QueueRecord]:
         """Return what waits here; what waits no more comes once, as 0."""
         records = [
-            QueueRecord(self.me, service, rank, waiting)
+            QueueRecord(self.own_entry, service, rank, waiting)
             for (service, rank), waiting in self._own.items()
         ]
         for key in [key for key, waiting in self._own.items() if not waiting]:
             del self._own[key]
         return records
 
-    def ahead(self, service: str, rank: int, now: float) -> int:
+    def count_ahead(self, service: str, rank: int, now: float) -> int:
         """Count the requests that go before one of this rank.
 
         :param service: whose targets are waited for
@@ -74,9 +74,9 @@
         )
         others = sum(
             waiting
-            for (name, other), entries in self._others.items()
+            for (name, other), entries in self._remote.items()
             if name == service and other < rank
             for waiting, heard in entries.values()
-            if now - heard < EXPIRY
+            if now - heard < REPORT_EXPIRY_SECONDS
         )
         return own + others
--- a/packages/gateway/src/chivepier/gateway/targets/answerhistory.py
+++ b/packages/gateway/src/chivepier/gateway/targets/responsehistory.py
@@ -4,7 +4,7 @@
 
 
 @attrs.define
-class AnswerHistory:
+class ResponseHistory:
     """Averages, and for how long the target is avoided.
 
     :param failures: share of its answers that were failures
@@ -14,8 +14,8 @@
     :param until: when it may be tried again, in monotonic seconds
     """
 
-    failures: float = 0.0
-    slowness: float = 0.0
-    noted: float = 0.0
-    pause: float = 0.0
-    until: float = 0.0
+    failure_rate: float = 0.0
+    latency_ratio: float = 0.0
+    updated_at: float = 0.0
+    backoff: float = 0.0
+    avoided_until: float = 0.0
--- a/packages/gateway/src/chivepier/gateway/targets/target.py
+++ b/packages/gateway/src/chivepier/gateway/targets/target.py
@@ -28,4 +28,6 @@
     heard: float
     warm_at: float = 0.0
     born: int = 0
-    said: float = attrs.Factory(lambda self: self.heard, takes_self=True)
+    announced_at: float = attrs.Factory(
+        lambda self: self.heard, takes_self=True
+    )
--- a/packages/gateway/src/chivepier/gateway/targets/targettable.py
+++ b/packages/gateway/src/chivepier/gateway/targets/targettable.py
@@ -8,16 +8,16 @@
 
 # A target announces itself about every beat; after this many missed ones it
 # has most likely crashed. One or two may be late or lost.
-MISSED_BEATS = 3.5
+MAX_MISSED_HEARTBEATS = 3.5
 # Seconds for which an instance that left is remembered: a delayed
 # announcement of it would else bring it back to life.
-KEPT_GONE = 60.0
+GONE_RETENTION_SECONDS = 60.0
 # Seconds without a word after which an instance is forgotten.
-KEPT_SILENT = 30.0
+SILENT_RETENTION_SECONDS = 30.0
 
 # Seconds by which a target's time to be warm must have moved to be news: an
 # announcement that took some tenths of a second on its way says no more.
-COLD_NEWS_SECONDS = 0.3
+MIN_WARM_CHANGE_SECONDS = 0.3
 
 Watcher = collections.abc.Callable[[Target, TargetState | None], None]
 RestartWatcher = collections.abc.Callable[[Target], None]
@@ -32,7 +32,7 @@
 
     def __init__(self, beat: float, zones: Zones | None = None):
         self.zones = Zones() if zones is None else zones
-        self._patience = beat * MISSED_BEATS
+        self._silence_seconds = beat * MAX_MISSED_HEARTBEATS
         self._targets: dict[str, Target] = {}
         self._leaving: dict[tuple[str, int], float] = {}
         self.watchers: list[Watcher] = []
@@ -45,7 +45,7 @@
         """Find one instance."""
         return self._targets.get(instance)
 
-    def leaves(self, instance: str) -> bool:
+    def is_leaving(self, instance: str) -> bool:
         """Tell whether an instance said that it leaves."""
         target = self._targets.get(instance)
         return target is not None and target.state is not TargetState.READY
@@ -60,13 +60,13 @@
         if known is not None and target.born != known.born:
             if target.born < known.born:
                 return False
-            self._end_life(known)
+            self._end_incarnation(known)
             known = None
         if (target.instance, target.born) in self._leaving:
-            self._correct(target)
+            self._keep_leaving(target)
         if known is not None:
             if target.number < known.number:
-                return self._take_late(target, known)
+                return self._apply_outdated(target, known)
             if known.state is TargetState.GONE:
                 return False
             target.heard = max(target.heard, known.heard)
@@ -74,7 +74,7 @@
                 known.heard = target.heard
                 return False
             if known.state is TargetState.LEAVING:
-                self._correct(target)
+                self._keep_leaving(target)
         self._targets[target.instance] = target
         before = known.state if known else None
         for watcher in self.watchers:
@@ -82,26 +82,26 @@
         # a target that became cold since would else be sent what it can't
         # bear: others than its own voter heard of its state alone
         colder = known is not None and (
-            target.warm_at > known.warm_at + COLD_NEWS_SECONDS
-            and target.warm_at > target.said
+            target.warm_at > known.warm_at + MIN_WARM_CHANGE_SECONDS
+            and target.warm_at > target.announced_at
         )
         return before is not target.state or colder
 
-    def _correct(self, target: Target) -> None:
+    def _keep_leaving(self, target: Target) -> None:
         # what left stays so, whatever announcement overtakes that word
         if target.state is TargetState.READY:
             target.state = TargetState.LEAVING
 
-    def _take_late(self, target: Target, known: Target) -> bool:
+    def _apply_outdated(self, target: Target, known: Target) -> bool:
         """Take a word that others have overtaken.
 
         That a target leaves holds from then on; all else of it is outdated.
         """
         if target.state is not TargetState.LEAVING:
             return False
-        return self.note_leaving(target.instance, target.born, known.heard)
+        return self.mark_leaving(target.instance, target.born, known.heard)
 
-    def note_leaving(self, instance: str, born: int, now: float) -> bool:
+    def mark_leaving(self, instance: str, born: int, now: float) -> bool:
         """Take that a target leaves, from wherever it is known.
 
         It may be known before the target itself is, or while what the target
@@ -124,7 +124,7 @@
             watcher(known, TargetState.READY)
         return True
 
-    def note_heard(
+    def mark_alive(
         self, instances: collections.abc.Iterable[str], now: float
     ) -> None:
         """Note that targets live and have said nothing new.
@@ -137,7 +137,7 @@
             if known is not None:
                 known.heard = max(known.heard, now)
 
-    def _end_life(self, known: Target) -> None:
+    def _end_incarnation(self, known: Target) -> None:
         """Tell that what was believed of a target has ended.
 
         A target that starts again under its name counts from the beginning and
@@ -157,7 +157,7 @@
         known = self._targets.get(target.instance)
         return known is None or known.born == target.born
 
-    def note_gone(self, instance: str, address: str) -> None:
+    def mark_gone(self, instance: str, address: str) -> None:
         """Take an instance out that another one has replaced.
 
         :param instance: whose address answers for another instance
@@ -191,7 +191,7 @@
             for target in self._targets.values()
             if target.service == service and target.state is TargetState.READY
         ]
-        fresh = [t for t in ready if now - t.heard < self._patience]
+        fresh = [t for t in ready if now - t.heard < self._silence_seconds]
         return [
             target
             for target in fresh or ready
@@ -215,27 +215,27 @@
         :returns: whether it is not heard while another of its service is
         """
         known = self._targets.get(target.instance)
-        if known is None or now - known.heard < self._patience:
+        if known is None or now - known.heard < self._silence_seconds:
             return False
         return any(
             other.service == target.service
-            and now - other.heard < self._patience
+            and now - other.heard < self._silence_seconds
             for other in self._targets.values()
         )
 
-    def forget(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Drop what has long been silent.
 
         :param now: monotonic seconds
         """
         for target in list(self._targets.values()):
             gone = target.state is TargetState.GONE
-            kept = KEPT_GONE if gone else KEPT_SILENT
+            kept = GONE_RETENTION_SECONDS if gone else SILENT_RETENTION_SECONDS
             if now - target.heard > kept:
                 del self._targets[target.instance]
         for (instance, born), at in list(self._leaving.items()):
             known = self._targets.get(instance)
             if known is not None and known.born == born:
                 self._leaving[(instance, born)] = now
-            elif now - at > KEPT_GONE:
+            elif now - at > GONE_RETENTION_SECONDS:
                 del self._leaving[(instance, born)]
--- a/packages/gateway/src/chivepier/gateway/targets/tests/test_chooser.py
+++ b/packages/gateway/src/chivepier/gateway/targets/tests/test_loadbalancer.py
@@ -5,9 +5,9 @@
 
 from chivepier.gateway.config import Engine
 from chivepier.gateway.messages import LoadRecord
-from chivepier.gateway.targets import Chooser
 from chivepier.gateway.targets import Demand
-from chivepier.gateway.targets import LoadBoard
+from chivepier.gateway.targets import LoadBalancer
+from chivepier.gateway.targets import LoadTracker
 from chivepier.gateway.targets import TargetHealth
 from chivepier.gateway.targets import TargetTable
 from chivepier.gateway.targets.tests.test_targettable import make
@@ -23,9 +23,9 @@
     def __init__(self, *names: str):
         self.table = TargetTable(1.0)
         self.health = TargetHealth()
-        self.board = LoadBoard("me")
+        self.board = LoadTracker("me")
         self.clock = ManualClock()
-        self.chooser = Chooser(
+        self.chooser = LoadBalancer(
             self.table,
             self.health,
             self.board,
@@ -99,9 +99,9 @@
 def test_target_that_fails_more_than_others_is_avoided():
     choice = Choice("a", "b", "c")
     for _ in range(10):
-        choice.health.note_answer("a", True, 0.0, 0.0)
-        choice.health.note_answer("b", False, 0.0, 0.0)
-        choice.health.note_answer("c", False, 0.0, 0.0)
+        choice.health.record_response("a", True, 0.0, 0.0)
+        choice.health.record_response("b", False, 0.0, 0.0)
+        choice.health.record_response("c", False, 0.0, 0.0)
     picked = {choice.pick() for _ in range(50)}
     assert picked == {"b", "c"}
 
@@ -110,13 +110,13 @@
     choice = Choice("a", "b")
     for name in ("a", "b"):
         for _ in range(10):
-            choice.health.note_answer(name, True, 0.0, 0.0)
+            choice.health.record_response(name, True, 0.0, 0.0)
     assert {choice.pick() for _ in range(50)} == {"a", "b"}
 
 
 def test_silent_target_is_avoided_and_tried_again():
     choice = Choice("a", "b")
-    choice.health.note_silence("a", 0.0)
+    choice.health.record_unreachable("a", 0.0)
     assert {choice.pick() for _ in range(20)} == {"b"}
     choice.clock.advance(0.6)
     assert "a" in {choice.pick() for _ in range(50)}
@@ -135,7 +135,7 @@
         )
 
     assert find().instance == "b"
-    choice.board.change("b", tokens=4_000, receiving=1)
+    choice.board.adjust_own("b", tokens=4_000, receiving=1)
     assert find().instance == "c"
     assert find(25_000).instance == "b"
     assert find(31_000) is None
@@ -157,7 +157,7 @@
     choice = Choice("a")
     record = LoadRecord("z-last", "a", 1, 10, 0, 500, True)
     choice.board.put(record, 0.0)
-    assert choice.board.before("a", 0.0) == 500
+    assert choice.board.get_copy_wait_ms("a", 0.0) == 500
 
 
 def test_target_that_stands_out_gets_a_share_of_what_comes_at_once():
@@ -185,7 +185,7 @@
     for entry, turn in (("a-first", 300), ("z-last", 500)):
         record = LoadRecord(entry, "a", 1, 10, 0, turn)
         choice.board.put(record, 0.0)
-    assert choice.board.before("a", 0.0) == 300
+    assert choice.board.get_copy_wait_ms("a", 0.0) == 300
 
 
 def test_copies_stay_in_their_zone_while_there_is_much_to_copy():
@@ -200,12 +200,12 @@
         ).instance
 
     choice.load("near", runs=6, tokens=24_000)
-    choice.board.take_turn("a", 800)
+    choice.board.set_copy_time("a", 800)
     choice.board.put(LoadRecord("other", "a", 4, 16_000, 0, 1_200), 0.0)
     assert find() == "near"
     choice.board.put(LoadRecord("other", "a", 0, 0, 0, 0), 0.0)
     assert find() == "far"
-    choice.board.take_turn("a", 3_000)
+    choice.board.set_copy_time("a", 3_000)
     choice.load("near", runs=8, tokens=31_000)
     assert find() == "far"
 
@@ -217,7 +217,7 @@
     demand = Demand(prompt=3_000, output=900, objective=1.5)
     choice.load("new", runs=1, tokens=3_000, reading=3_000)
     assert choice.chooser.has_room(target, ENGINE, demand)
-    choice.chooser.pace.note("s", 6_000, 0.7)
+    choice.chooser.prefill_estimator.record("s", 6_000, 0.7)
     assert choice.chooser.has_room(target, ENGINE, demand)
     choice.load("new", runs=2, tokens=6_000, reading=6_000)
     assert not choice.chooser.has_room(target, ENGINE, demand)
--- a/packages/gateway/src/chivepier/gateway/targets/tests/test_targettable.py
+++ b/packages/gateway/src/chivepier/gateway/targets/tests/test_targettable.py
@@ -87,9 +87,9 @@
 def test_replaced_instance_is_known_by_its_address():
     table = TargetTable(1.0)
     table.put(make("i1"))
-    table.note_gone("i1", "other:1")
+    table.mark_gone("i1", "other:1")
     assert table.select("s", 0.0)
-    table.note_gone("i1", "a:1")
+    table.mark_gone("i1", "a:1")
     assert not table.select("s", 0.0)
 
 
@@ -110,9 +110,9 @@
 def test_long_silent_targets_are_forgotten():
     table = TargetTable(1.0)
     table.put(make("i1", heard=0.0))
-    table.forget(29.0)
+    table.expire(29.0)
     assert table.get("i1")
-    table.forget(31.0)
+    table.expire(31.0)
     assert table.get("i1") is None
 
 
@@ -189,9 +189,9 @@
     table = TargetTable(1.0)
     table.put(make("i1", heard=0.0))
     table.put(make("i2", heard=0.0))
-    table.note_heard(("i2", "unknown"), 5.0)
+    table.mark_alive(("i2", "unknown"), 5.0)
     assert [t.instance for t in table.select("s", 5.0)] == ["i2"]
-    table.note_heard(("i2",), 4.0)
+    table.mark_alive(("i2",), 4.0)
     assert table.get("i2").heard == 5.0
 
 
@@ -200,7 +200,7 @@
     table = TargetTable(1.0)
     table.put(make(number=5))
     assert table.put(make(number=4, state=LEAVING))
-    assert table.leaves("i1") and not table.select("s", 0.0)
+    assert table.is_leaving("i1") and not table.select("s", 0.0)
     assert table.get("i1").number == 5
 
 
@@ -208,16 +208,16 @@
     # An entry that was cut off heard nothing of it, and forgot it.
     table = TargetTable(1.0)
     table.put(make(number=5))
-    table.note_leaving("i1", 0, 1.0)
-    table.forget(35.0)
+    table.mark_leaving("i1", 0, 1.0)
+    table.expire(35.0)
     assert table.get("i1") is None
     table.put(make(number=6, heard=40.0))
-    assert table.leaves("i1")
+    assert table.is_leaving("i1")
 
 
 def test_memory_of_targets_that_left_ends():
     table = TargetTable(1.0)
-    table.note_leaving("i1", 0, 1.0)
-    table.forget(62.0)
+    table.mark_leaving("i1", 0, 1.0)
+    table.expire(62.0)
     table.put(make(number=6, heard=62.0))
-    assert not table.leaves("i1")
+    assert not table.is_leaving("i1")
--- a/tests/adapter/test_control.py
+++ b/tests/adapter/test_control.py
@@ -81,14 +81,14 @@
             assert answer.status == 200
         async with client.put(path, json=BEAT) as answer:
             assert answer.status == 200
-        assert voter.table.leaves("i-1")
+        assert voter.table.is_leaving("i-1")
         again = {**BEAT, "seq": 1, "born": 1700}
         async with client.put(path, json=again) as answer:
             assert answer.status == 200
-        assert not voter.table.leaves("i-1")
+        assert not voter.table.is_leaving("i-1")
         async with client.delete(path, json={"born": 1600}) as answer:
             assert answer.status == 200
-        assert not voter.table.leaves("i-1")
+        assert not voter.table.is_leaving("i-1")
         async with client.delete(path) as answer:
             assert answer.status == 200
         assert voter.table.get("i-1").state is TargetState.GONE
