--- a/packages/gateway/src/chivepier/gateway/permits/__init__.py
+++ b/packages/gateway/src/chivepier/gateway/permits/__init__.py
@@ -1,4 +1,4 @@
-"""Leave to send to targets that take few, over all entries."""
+"""Permits for sends to cold or rate-limited targets, over all entries."""
 
 from chivepier.gateway.permits.claim import Claim
 from chivepier.gateway.permits.coldbound import ColdBound
--- a/packages/gateway/src/chivepier/gateway/permits/claim.py
+++ b/packages/gateway/src/chivepier/gateway/permits/claim.py
@@ -1,15 +1,15 @@
-"""Whose request wants to go to a target that takes few."""
+"""The attributes of a request that decide its order at a target."""
 
 import attrs
 
 
 @attrs.frozen
 class Claim:
-    """What decides whose turn it is.
+    """A request's claim to a turn at a rate-limited target.
 
-    :param team: whose request it is; empty where it has none
-    :param urgency: its class; the lowest goes first
-    :param patience: seconds that it can wait for its turn
+    :param team: team that the request belongs to; empty if it has none
+    :param urgency: urgency class of the request; the lowest goes first
+    :param patience: maximum seconds that the request can wait for its turn
     """
 
     team: str = ""
--- a/packages/gateway/src/chivepier/gateway/permits/fairscheduler.py
+++ b/packages/gateway/src/chivepier/gateway/permits/fairscheduler.py
@@ -1,4 +1,4 @@
-"""Who gets the little that a target in need takes."""
+"""Fair scheduling of sends to rate-limited targets."""
 
 import random
 
@@ -6,33 +6,35 @@
 from chivepier.gateway.permits.senddecision import SendDecision
 from chivepier.gateway.permits.targetschedule import TargetSchedule
 
-# Requests a second that are sent to a target whatever less it names: its
-# answers alone tell that it has recovered.
+# Minimum rate at which requests are sent to a target, even if it announces a
+# lower one: only its responses can show that it has recovered.
 MIN_SENDS_PER_SECOND = 0.2
-# Seconds for which a turn is kept for a claim that goes first, and that may
-# not come back.
+# Seconds for which a turn is reserved for a refused claim of higher priority;
+# that claim may never be repeated.
 RESERVATION_SECONDS = 0.25
-# Seconds after which a claim that was refused no longer counts.
+# Seconds after which a refused claim no longer reserves a turn.
 CLAIM_EXPIRY_SECONDS = 2.0
-# Claims that come for each turn, however many entries there are.
+# Target number of claims per turn, whatever the number of entries: the retry
+# times of refused claims are spread accordingly.
 CLAIMS_PER_TURN = 3.0
-# Claims for one turn up to which the first is told just when it is due;
-# beyond, the leader's time is worth more than that order.
+# Number of refusals for one turn up to which the claim of highest priority is
+# told the exact time of that turn. Beyond it all retry times are spread: the
+# load on the leader matters more than the order.
 MAX_UNSPREAD_CLAIMS = 10
-# Seconds after which a claim may be made again in any case.
+# Maximum seconds until a refused claim may be repeated.
 MAX_WAIT_SECONDS = 2.0
-# Seconds after which a target that nobody asked for is forgotten.
+# Seconds without a claim after which a target's schedule is dropped.
 IDLE_EXPIRY_SECONDS = 30.0
 
 
 class FairScheduler:
-    """Gives turns at the rate that a target names, one after the other.
+    """Grants turns to send at the rate limit that a target announced.
 
-    Turns of one target are the inverse of its rate apart, so that any span
-    holds what the rate allows in it, and one more. First goes the most urgent
-    class, within a class the team that was served least of late: a team that
-    asks ten times as often as another gets no more than it. A claim may be
-    given a turn that is still to come, as far ahead as it can wait.
+    Consecutive turns of a target are 1 / rate seconds apart, so any interval
+    contains at most rate * interval + 1 of them. The most urgent class goes
+    first; within a class, the team with the fewest recent turns goes first, so
+    a team that claims ten times as often as another gets no more turns. A
+    claim may be granted a future turn within its ``patience``.
 
     >>> scheduler = FairScheduler(random.Random(1))
     >>> scheduler.acquire("i1", 2.0, Claim(), 10.0, led_since=0.0)
@@ -40,7 +42,7 @@
     >>> scheduler.acquire("i1", 2.0, Claim(patience=0.5), 10.25, led_since=0.0)
     SendDecision(granted=True, wait=0.25, permit_seconds=0.0)
 
-    :param rng: spreads the claims of many entries
+    :param rng: random source that spreads the retries of many entries
     """
 
     def __init__(self, rng: random.Random):
@@ -55,14 +57,14 @@
         now: float,
         led_since: float,
     ) -> SendDecision:
-        """Give a claim its turn, or say when to ask again.
-
-        :param instance: the target's name
-        :param rate: requests a second that it takes
-        :param claim: whose request it is
-        :param now: monotonic seconds
-        :param led_since: since when this node gives turns: what the one
-            before it gave at its end is not known here
+        """Grant a claim the next turn, or tell when to repeat it.
+
+        :param instance: name of the target
+        :param rate: rate limit of the target, in requests per second
+        :param claim: the claim of the request
+        :param now: current monotonic time, in seconds
+        :param led_since: monotonic time at which this node became the
+            leader; the last turns of its predecessor are not known here
         """
         schedule = self._get_schedule(instance, led_since, now)
         interval = 1.0 / max(rate, MIN_SENDS_PER_SECOND)
@@ -73,7 +75,7 @@
             )
         if due - now > claim.patience:
             return self._refuse(schedule, claim, due, interval, now)
-        # what was lost while a turn was kept counts for those that wait
+        # time lost on a reservation does not delay the turns after it
         kept = RESERVATION_SECONDS if schedule.refusals else 0.0
         schedule.last_due = max(due, now - kept)
         schedule.refusals = 0
@@ -85,7 +87,7 @@
         return SendDecision(True, max(0.0, due - now))
 
     def count_targets(self) -> int:
-        """Return of how many targets anything is kept."""
+        """Return the number of targets that have a schedule."""
         return len(self._schedules)
 
     def _get_schedule(
@@ -110,7 +112,7 @@
     def _is_reserved(
         self, schedule: TargetSchedule, claim: Claim, due: float, now: float
     ) -> bool:
-        """Tell whether the next turn is kept for a claim that goes first."""
+        """Tell whether the turn is reserved for a higher-priority claim."""
         return now <= due + RESERVATION_SECONDS and self._has_higher_priority(
             schedule, claim, now
         )
--- a/packages/gateway/src/chivepier/gateway/permits/fallbacklimiter.py
+++ b/packages/gateway/src/chivepier/gateway/permits/fallbacklimiter.py
@@ -1,4 +1,4 @@
-"""What an entry may send alone, without a word of the others."""
+"""The rate limit of an entry that reaches no leader."""
 
 import random
 
@@ -8,12 +8,11 @@
 
 
 class FallbackLimiter:
-    """An even part of a target's rate, for an entry that no leader answers.
+    """Limits sends to an equal share of a target's rate limit.
 
-    With nothing sent, a service whose targets are all in need would stand
-    still for want of a leader. Entries begin at random moments of the time
-    that their part takes: each sending one at once, hundreds would come to a
-    target together.
+    Used while no leader responds: without it, a service whose targets are all
+    rate-limited would stop. Each entry starts at a random time within its send
+    interval; otherwise hundreds of entries would send to a target at once.
 
     >>> limiter = FallbackLimiter(random.Random(1))
     >>> limiter.reset(4)
@@ -22,7 +21,7 @@
     >>> limiter.acquire("i1", 2.0, Claim(), 0.1).granted
     False
 
-    :param rng: draws where this entry begins
+    :param rng: random source for the first send of this entry
     """
 
     def __init__(self, rng: random.Random):
@@ -31,9 +30,10 @@
         self._due_at: dict[str, float] = {}
 
     def reset(self, entries: int) -> None:
-        """Begin to send without a leader.
+        """Start sending without a leader.
 
-        :param entries: that share a target's rate, this one included
+        :param entries: number of entries that share a target's rate limit,
+            including this one
         """
         self._entry_count = max(1, entries)
         self._due_at.clear()
@@ -41,12 +41,13 @@
     def acquire(
         self, instance: str, rate: float, claim: Claim, now: float
     ) -> SendDecision:
-        """Give a claim its turn, or say when to ask again.
+        """Grant a claim its turn, or tell when to repeat it.
 
-        :param instance: the target's name
-        :param rate: requests a second that it takes from all entries
-        :param claim: whose request it is
-        :param now: monotonic seconds
+        :param instance: name of the target
+        :param rate: rate limit of the target over all entries, in requests per
+            second
+        :param claim: the claim of the request
+        :param now: current monotonic time, in seconds
         """
         interval = self._entry_count / max(rate, MIN_SENDS_PER_SECOND)
         due = self._due_at.get(instance)
--- a/packages/gateway/src/chivepier/gateway/permits/leaderclient.py
+++ b/packages/gateway/src/chivepier/gateway/permits/leaderclient.py
@@ -1,4 +1,4 @@
-"""The leader as an entry asks it, however slowly it answers."""
+"""Permit requests of an entry to the leader."""
 
 import asyncio
 import collections
@@ -14,32 +14,33 @@
 from chivepier.gateway.permits.permit import PERMIT_SECONDS
 from chivepier.types import Clock
 
-# Seconds that a request waits for an answer, before it goes elsewhere.
+# Seconds that a request waits for the leader before it tries another target.
 ANSWER_TIMEOUT_SECONDS = 0.1
-# Leave is asked for so many times as long as answers take: it must still hold
-# when it comes, and for what comes next.
+# Requested permit lifetime as a multiple of the leader's response time: a
+# permit must still be valid when it arrives, and for the next request.
 PERMIT_FACTOR = 3.0
-# Share of that time that stays with each answer that comes sooner.
+# Factor by which the requested lifetime shrinks at most per faster response.
 PERMIT_DECAY = 0.9
-# Targets, classes and teams whose late leave is kept; leave lapses soon.
+# Maximum number of (target, class, team) keys with late permits; permits
+# expire soon.
 MAX_UNUSED_KEYS = 1_000
 
-# Asks the leader for one send; nothing where no answer came.
+# Asks the leader for one permit; returns None if no answer came.
 Ask = collections.abc.Callable[
     [PermitRequest], collections.abc.Awaitable[PermitAnswer | None]
 ]
 
 
 class LeaderClient:
-    """Asks, and keeps the leave that comes late for the next requests.
+    """Requests permits and keeps late ones for the next requests.
 
-    Where the leader, the link or this entry is slow, leave would lapse before
-    it can be used, each time anew, and nothing would be sent at all. So leave
-    is asked for a longer time then, which the leader counts against it: late
-    means fewer sends, and not none.
+    If the leader, the network or this entry is slow, every permit could expire
+    before it is used, and nothing would be sent. The client then requests a
+    longer lifetime. The leader counts such permits for longer, so slow answers
+    reduce the send rate but do not stop sends.
 
-    :param ask: asks for one send
-    :param clock: monotonic time
+    :param ask: sends one permit request to the leader
+    :param clock: source of monotonic time
     """
 
     def __init__(self, ask: Ask, clock: Clock):
@@ -53,11 +54,12 @@
     async def ask(
         self, key: tuple[str, int, int, str], request: PermitRequest
     ) -> tuple[PendingRequest, PermitAnswer | None]:
-        """Ask for one send.
+        """Request a permit for one send.
 
-        :param key: whose leave it is
-        :param request: the question
-        :returns: with the answer; ``None`` where it has not come yet
+        :param key: target, incarnation, urgency class and team of the permit
+        :param request: message to the leader
+        :returns: the pending request and the answer; ``None`` in place of the
+            answer if it has not arrived in time
         """
         pending = PendingRequest(
             key, self._clock.monotonic(), self.permit_seconds
@@ -106,7 +108,7 @@
         )
 
     def take_unused(self, key: tuple[str, int, int, str]) -> Permit | None:
-        """Return leave that came late, if any can be used now."""
+        """Return a permit that arrived late and is valid now, if any."""
         kept = self._unused.get(key)
         if kept is None:
             return None
--- a/packages/gateway/src/chivepier/gateway/permits/pendingrequest.py
+++ b/packages/gateway/src/chivepier/gateway/permits/pendingrequest.py
@@ -1,16 +1,16 @@
-"""A question to the leader that is under way."""
+"""A permit request that the leader has not answered yet."""
 
 import attrs
 
 
 @attrs.define
 class PendingRequest:
-    """What its answer is worth, and to whom.
+    """Describes the permit that an answer grants.
 
-    :param key: whose leave it asks for: target, class and team
-    :param asked: when, in monotonic seconds
-    :param permit_seconds: seconds from then on in which leave may be used
-    :param awaited: whether the request that asked still waits for it
+    :param key: target, incarnation, urgency class and team of the permit
+    :param asked_at: monotonic time of the request, in seconds
+    :param permit_seconds: seconds from then on in which the permit is valid
+    :param is_awaited: whether the caller still waits for the answer
     """
 
     key: tuple[str, int, int, str]
--- a/packages/gateway/src/chivepier/gateway/permits/permit.py
+++ b/packages/gateway/src/chivepier/gateway/permits/permit.py
@@ -1,20 +1,21 @@
-"""Leave to send one request to one target."""
+"""Permission to send one request to one target."""
 
 import attrs
 
-# Seconds after its moment in which a permit must be used: the way of the
-# answer and a reservation.
+# Default lifetime of a permit: covers the delay of the answer and the
+# reservation at the target.
 PERMIT_SECONDS = 0.25
-# The same at most, where answers are slow; a new leader waits for as long.
+# Maximum lifetime, used if answers are slow. A new leader waits that long
+# before it grants permits.
 MAX_PERMIT_SECONDS = 1.0
 
 
 @attrs.frozen
 class Permit:
-    """Lapses, so that its lender may give it to another entry.
+    """A permit that expires, so that the leader can grant it again.
 
-    :param until: when it must have been used, in monotonic seconds; infinite
-        for a target that takes what comes
+    :param expires_at: monotonic time by which it must be used, in seconds;
+        infinite for a target without limits
     """
 
     expires_at: float = float("inf")
--- a/packages/gateway/src/chivepier/gateway/permits/refusalbackoffs.py
+++ b/packages/gateway/src/chivepier/gateway/permits/refusalbackoffs.py
@@ -1,18 +1,19 @@
-"""When it is worth asking again for leave."""
+"""Delays before a refused claim may be repeated."""
 
 from chivepier.gateway.permits.claim import Claim
 from chivepier.gateway.targets import Target
 
-# Seconds between two log lines about sends withheld from one target.
+# Minimum seconds between two log lines about refused sends to one target.
 LOG_INTERVAL_SECONDS = 1.0
-# Pauses that are kept before those that are over are dropped.
+# Number of stored delays from which on expired ones are removed.
 MAX_BACKOFFS = 1_000
 
 
 class RefusalBackoffs:
-    """Remembers refusals by target, class and team.
+    """Stores refusals by target, urgency class and team.
 
-    One team's refusals say nothing about another's claim: it may go first.
+    A refusal of one team does not apply to the claims of another, which may
+    have a higher priority.
     """
 
     def __init__(self) -> None:
@@ -20,11 +21,11 @@
         self._logged: dict[str, float] = {}
 
     def record(self, target: Target, claim: Claim, until: float) -> None:
-        """Note that a claim is not to be made before a moment.
+        """Record that a claim must not be made before a given time.
 
-        :param target: where it wants to go
-        :param claim: whose request it is
-        :param until: in monotonic seconds
+        :param target: target of the claim
+        :param claim: the refused claim
+        :param until: monotonic time from which on it may be repeated
         """
         if len(self._until) >= MAX_BACKOFFS:
             self._drop_expired(until)
@@ -33,14 +34,14 @@
     def find_remaining(
         self, target: Target, claim: Claim, now: float
     ) -> float | None:
-        """Return the seconds that are left, or nothing once they are over."""
+        """Return the remaining delay in seconds, or None if it is over."""
         until = self._until.get(make_key(target, claim))
         if until is None or until <= now:
             return None
         return until - now
 
     def should_log(self, target: Target, now: float) -> bool:
-        """Tell whether it is time for another line about a target."""
+        """Tell whether another log line about a target is due."""
         last = self._logged.get(target.instance)
         if last is not None and now - last < LOG_INTERVAL_SECONDS:
             return False
@@ -59,5 +60,5 @@
 
 
 def make_key(target: Target, claim: Claim) -> tuple[str, int, int, str]:
-    """Return whose leave a claim is for."""
+    """Return the key of a permit: target, incarnation, class and team."""
     return (target.instance, target.born, claim.urgency, claim.team)
--- a/packages/gateway/src/chivepier/gateway/permits/senddecision.py
+++ b/packages/gateway/src/chivepier/gateway/permits/senddecision.py
@@ -1,16 +1,16 @@
-"""An answer to a claim."""
+"""The answer to a claim."""
 
 import attrs
 
 
 @attrs.frozen
 class SendDecision:
-    """Leave to send at a moment, or when to ask again.
+    """Either permission to send after a delay, or a delay before a retry.
 
     :param granted: whether the request may be sent
-    :param wait: seconds until then, or until it is worth asking again
-    :param permit_seconds: seconds after that moment in which it may be sent;
-        0 where none was agreed on
+    :param wait: seconds until the send, or until the claim may be repeated
+    :param permit_seconds: seconds after the wait in which it may be sent; 0 if
+        not specified
     """
 
     granted: bool
--- a/packages/gateway/src/chivepier/gateway/permits/sendlimiter.py
+++ b/packages/gateway/src/chivepier/gateway/permits/sendlimiter.py
@@ -1,4 +1,4 @@
-"""An entry's leave to send to targets that take few."""
+"""Permits of an entry to send to cold or rate-limited targets."""
 
 import collections.abc
 
@@ -22,41 +22,45 @@
 from chivepier.gateway.zones import Zones
 from chivepier.types import Clock
 
-# Seconds after a refusal in which the same cold target isn't asked for again:
-# it is cold for a second or more, and its window moves on by then.
+# Seconds after a refusal in which no permit is requested for the same cold
+# target. It stays cold for a second or more, and the window has moved by then.
 REFUSAL_BACKOFF_SECONDS = 0.1
 
-# Seconds after a question without an answer in which none is asked: each holds
-# up its request.
+# Seconds after an unanswered permit request in which no other is sent: each
+# one delays its request.
 LEADER_BACKOFF_SECONDS = 0.5
 
 
 class SendLimiter:
-    """Asks the leader for each send to a target that takes few.
+    """Asks the leader for a permit for each send to a limited target.
 
-    A cold target crashes when all entries together send it more than it
-    bears, one in need is sent more than it named, and an entry does not know
-    what the others send. Weighed: an equal part for each entry, which is less
-    than one send a second where there are more entries than sends, so that
-    none may send at all or all may send at once; a few entries chosen for
-    each target, which differ while entries know of different others; counts
-    that entries tell each other, which bound nothing while words are lost.
-    The leader is one at any time, and what it permits lapses before it is
-    permitted again.
+    A cold target crashes if all entries together send it too much, and a
+    rate-limited target must not get more than its limit, but an entry does not
+    know what the others send. Alternatives that were rejected:
+
+    * An equal share for each entry: with more entries than sends per second it
+      is less than one send, so either no entry sends or all send at once.
+    * A few entries selected for each target: the selections differ while
+      entries know different sets of entries.
+    * Send counts exchanged between entries: they limit nothing while messages
+      are lost.
+
+    There is only one leader at a time, and each permit expires before it is
+    granted again.
 
     Without a leader, entries send nothing to cold targets and use the warm
-    ones. All targets of a service may be in need at once, so to these an
-    entry then sends its own part.
+    ones. All targets of a service may be rate-limited at once, so an entry
+    then sends its share of the limit to these.
 
-    :param zones: which zones were taken back, and when
-    :param limits: what targets in need take
-    :param bound: of cold targets, for all entries together
-    :param ask: asks for one send
-    :param own: what this entry may send alone
-    :param count_entries: returns how many entries there are
-    :param clock: monotonic time
-    :param log: what this process believes
-    :param metrics: counts answers
+    :param zones: evacuated and readmitted availability zones
+    :param limits: rate limits that targets announced
+    :param bound: send limit of cold targets over all entries
+    :param ask: sends one permit request to the leader
+    :param own: limiter of this entry for times without a leader
+    :param count_entries: returns the number of known entries
+    :param clock: source of monotonic time
+    :param log: event log of this process
+    :param metrics: counters of permit answers
     """
 
     def __init__(
@@ -87,14 +91,14 @@
         self._leaderless = False
 
     def is_cold(self, service: Service, target: Target, now: float) -> bool:
-        """Tell whether a target may bear less than usual.
+        """Tell whether a target may tolerate less load than usual.
 
-        Targets of a zone that was evacuated may have become cold meanwhile:
-        what they said before it was taken back shows nothing of that.
+        Targets of an evacuated zone may have become cold since; announcements
+        from before the zone was readmitted do not show that.
 
-        :param service: the target's
-        :param target: as this node knows it
-        :param now: monotonic seconds
+        :param service: service of the target
+        :param target: latest announcement of the target
+        :param now: current monotonic time, in seconds
         """
         if service.cold_rate <= 0:
             return False
@@ -104,21 +108,21 @@
         return readmitted is not None and target.announced_at < readmitted
 
     def find_limit(self, target: Target) -> float | None:
-        """Return the rate that a target in need takes from all entries."""
+        """Return a target's rate limit over all entries, or None."""
         return self._limits.find_rate(target.instance, target.born)
 
     @property
     def has_limits(self) -> bool:
-        """Whether any target is in need; nearly always none is."""
+        """Whether any target is rate-limited; usually none is."""
         return bool(self._limits)
 
     def find_limits(
         self, targets: collections.abc.Iterable[Target]
     ) -> dict[str, float]:
-        """Return what those of some targets take that are in need.
+        """Return the rate limits of those targets that have one.
 
-        :param targets: to be looked at
-        :returns: requests a second, by the targets' names
+        :param targets: targets to look up
+        :returns: requests per second by name of the target
         """
         if not self.has_limits:
             return {}
@@ -128,11 +132,11 @@
         return {name: rate for name, rate in rates.items() if rate is not None}
 
     def find_backoff(self, target: Target, claim: Claim) -> float | None:
-        """Return the seconds until a claim may be made again.
+        """Return the seconds until a claim may be repeated.
 
-        :param target: in need
-        :param claim: whose request wants to go there
-        :returns: ``None`` where it may be made now
+        :param target: target of the claim
+        :param claim: the claim of the request
+        :returns: ``None`` if it may be made now
         """
         if self.find_limit(target) is None:
             return None
@@ -143,12 +147,12 @@
     async def acquire(
         self, service: Service, target: Target, claim: Claim
     ) -> Permit | None:
-        """Return leave to send one request to a target, once it may go.
+        """Wait for a permit to send one request to a target.
 
-        :param service: the target's
-        :param target: where it is to be sent
-        :param claim: whose request it is
-        :returns: ``None`` where it must not be sent
+        :param service: service of the target
+        :param target: target of the request
+        :param claim: the claim of the request
+        :returns: the permit; ``None`` if the request must not be sent
         """
         now = self._clock.monotonic()
         cold = self.is_cold(service, target, now)
@@ -156,7 +160,7 @@
         if not cold and rate is None:
             return Permit()
         if rate is None:
-            # whose request it is decides nothing at a cold target
+            # cold targets are not scheduled by team or urgency
             claim = Claim()
         key = make_key(target, claim)
         kept = self._leader.take_unused(key)
@@ -199,13 +203,13 @@
             -1.0 if rate is None else rate,
             claim.team,
             claim.urgency,
-            # what is given of a cold target's bound must be used at once
+            # permits for a cold target must be used at once
             0.0 if cold else claim.patience,
         )
         key = make_key(target, claim)
         pending, answer = await self._leader.ask(key, request)
         if answer is None:
-            # it may still come, for the next request
+            # a late answer can still serve the next request
             self._late_answer_until = now + LEADER_BACKOFF_SECONDS
             self._count(rate, "late")
             if self._leaderless:
@@ -239,10 +243,10 @@
     def _claim_locally(
         self, target: Target, claim: Claim, rate: float
     ) -> SendDecision:
-        """Send this entry's part, as no leader answers.
+        """Apply this entry's share of the rate limit without a leader.
 
-        The voter that is heard last may hear few entries: the most that were
-        known since the leader answered share the rate.
+        The voter heard last may know few entries, so the share uses the larger
+        of the current count and the count at the leader's last answer.
         """
         entries = max(self._entry_count, self._count_entries())
         if not self._leaderless:
@@ -256,7 +260,7 @@
         )
         if turn.granted:
             return turn
-        # its part may come in minutes, a leader at any moment
+        # the next local turn may be minutes away; a leader may return earlier
         return SendDecision(False, min(turn.wait, LEADER_BACKOFF_SECONDS))
 
     def _note_refused(
--- a/packages/gateway/src/chivepier/gateway/permits/slidingwindowlimiter.py
+++ b/packages/gateway/src/chivepier/gateway/permits/slidingwindowlimiter.py
@@ -1,20 +1,21 @@
-"""What one voter has permitted as the leader."""
+"""The permits that the leader has granted to cold targets."""
 
 from chivepier.gateway.permits.permit import MAX_PERMIT_SECONDS
 from chivepier.gateway.permits.permit import PERMIT_SECONDS
 
-# Seconds for a connection to a target to stand; a send that waits for longer
-# is given up.
+# Seconds in which a connection to a target must be established; otherwise the
+# send is abandoned.
 CONNECT_SECONDS = 0.5
-# Seconds in which no more than one second's bound is permitted: what arrives
-# in one second was permitted within this time, whoever stood still or led.
+# Window in which at most the sends of one second are permitted. All requests
+# that arrive within one second were permitted within this window, even if a
+# process stalled or the leader changed.
 WINDOW_SECONDS = 1.0 + PERMIT_SECONDS + CONNECT_SECONDS
-# The same for permits of which nothing is known.
+# The window for permits of unknown lifetime.
 MAX_WINDOW_SECONDS = 1.0 + MAX_PERMIT_SECONDS + CONNECT_SECONDS
 
 
 class SlidingWindowLimiter:
-    """Counts permits by target until no second holds their sends any more.
+    """Counts each target's permits until their sends leave the window.
 
     >>> limiter = SlidingWindowLimiter()
     >>> [limiter.acquire("i1", 2, now) for now in (0.0, 0.1, 0.2)]
@@ -33,12 +34,12 @@
         now: float,
         lapse: float = PERMIT_SECONDS,
     ) -> bool:
-        """Permit one send, if the window has room for it.
+        """Permit one send if the window of the target is not full.
 
-        :param instance: the target's
-        :param most: sends that it bears within a second
-        :param now: monotonic seconds
-        :param lapse: seconds in which it may be used
+        :param instance: name of the target
+        :param most: maximum sends to the target within one second
+        :param now: current monotonic time, in seconds
+        :param lapse: lifetime of the permit, in seconds
         """
         self._expire(now)
         granted = self._granted.setdefault(instance, [])
@@ -48,11 +49,11 @@
         return True
 
     def count_targets(self) -> int:
-        """Return of how many targets anything is kept."""
+        """Return the number of targets with permits in the window."""
         return len(self._granted)
 
     def _expire(self, now: float) -> None:
-        # cold targets are few at a time
+        # few targets are cold at the same time
         for instance, granted in list(self._granted.items()):
             left = [over for over in granted if now < over]
             if left:
--- a/packages/gateway/src/chivepier/gateway/permits/targetschedule.py
+++ b/packages/gateway/src/chivepier/gateway/permits/targetschedule.py
@@ -1,22 +1,24 @@
-"""Those that want to go to one target in need."""
+"""The scheduling state of one rate-limited target."""
 
 import attrs
 
-# Seconds in which what a team was served counts half.
+# Half-life of the turns counted for a team.
 HALF_LIFE_SECONDS = 10.0
-# What a team was served counts as nothing below this.
+# Decayed number of turns below which a team's count is dropped.
 MIN_SERVED_TURNS = 0.05
 
 
 @attrs.define
 class TargetSchedule:
-    """Those that want to go to one target.
+    """Holds the last turn of a target and the claims for the next one.
 
-    :param last: when the last turn was due, in monotonic seconds
-    :param asked: when it was last asked for
-    :param refused: claims refused since the last turn
-    :param served: turns that each team had, the older ones counting less
-    :param rivals: when a claim of a class and team was last refused
+    :param last_due: monotonic time at which the last turn was due, in seconds
+    :param last_claimed_at: monotonic time of the last claim, in seconds
+    :param refusals: number of claims refused since the last turn
+    :param served_at: monotonic time at which ``served`` was last decayed
+    :param served: number of turns granted to each team, with decay
+    :param recent_refusals: monotonic time of the last refusal, by urgency
+        class and team
     """
 
     last_due: float
@@ -27,7 +29,7 @@
     recent_refusals: dict[tuple[int, str], float] = attrs.field(factory=dict)
 
     def decay_served(self, now: float) -> None:
-        """Let what teams were served count less, the longer ago it is."""
+        """Apply exponential decay to the turns counted for each team."""
         share = 0.5 ** ((now - self.served_at) / HALF_LIFE_SECONDS)
         self.served_at = now
         self.served = {
