--- a/packages/gateway/src/chivepier/gateway/targets/__init__.py
+++ b/packages/gateway/src/chivepier/gateway/targets/__init__.py
@@ -1,4 +1,4 @@
-"""Which targets there are, and which of them a request goes to."""
+"""Known targets, their health and load, and the choice among them."""
 
 from chivepier.gateway.targets.decodeestimator import DecodeEstimator
 from chivepier.gateway.targets.demand import Demand
--- a/packages/gateway/src/chivepier/gateway/targets/decodeestimator.py
+++ b/packages/gateway/src/chivepier/gateway/targets/decodeestimator.py
@@ -1,16 +1,16 @@
-"""How fast the targets of each service generate."""
+"""Estimates of decoding time by service."""
 
 from chivepier.gateway.targets.prefillestimator import PrefillEstimator
 
-# Seconds a token until the first generation has come to its end.
+# Seconds per token assumed until the first generation has ended.
 DEFAULT_SECONDS_PER_TOKEN = 0.01
-# Tokens of a generation that says something of the pace: the events of a short
-# answer come in one piece with the first.
+# Minimum length of a generation that is sampled: a short one delivers all its
+# events together with the first.
 MIN_SAMPLE_TOKENS = 100
 
 
 class DecodeEstimator:
-    """Median seconds a token, over generations that ran to their end.
+    """Median seconds per output token of completed generations.
 
     >>> estimator = DecodeEstimator()
     >>> estimator.estimate("s", 100)
@@ -24,16 +24,16 @@
         self._estimator = PrefillEstimator()
 
     def record(self, service: str, tokens: int, seconds: float) -> None:
-        """Note a generation from its first event to its end.
+        """Record the time of a generation from its first event to its end.
 
-        :param service: whose target it ran at
-        :param tokens: that it made
-        :param seconds: that it took
+        :param service: name of the service
+        :param tokens: number of tokens that it generated
+        :param seconds: time that it took, in seconds
         """
         if tokens >= MIN_SAMPLE_TOKENS:
             self._estimator.record(service, tokens, seconds)
 
     def estimate(self, service: str, tokens: int) -> float:
-        """Return how long tokens take to be generated, in seconds."""
+        """Return the time to generate tokens, in seconds."""
         seen = self._estimator.estimate(service, tokens)
         return seen or tokens * DEFAULT_SECONDS_PER_TOKEN
--- a/packages/gateway/src/chivepier/gateway/targets/demand.py
+++ b/packages/gateway/src/chivepier/gateway/targets/demand.py
@@ -1,9 +1,9 @@
-"""What a request will take of a target."""
+"""The resources that a request needs at a target."""
 
 import attrs
 
-# Tokens that a generation is expected to add before others beside it have
-# ended; its whole length is not known.
+# Output tokens that a generation is expected to add before other generations
+# at its target end; its final length is not known.
 NEAR_TERM_OUTPUT_TOKENS = 256
 
 
@@ -11,9 +11,9 @@
 class Demand:
     """The size of a generation.
 
-    :param prompt: tokens to read in
-    :param output: expected tokens to generate
-    :param objective: seconds within which its first event is to come
+    :param prompt: number of prompt tokens
+    :param output: expected number of output tokens
+    :param objective: target time to the first event, in seconds
     """
 
     prompt: int
@@ -22,10 +22,10 @@
 
     @property
     def tokens(self) -> int:
-        """Memory taken at the end, in tokens."""
+        """Expected memory use at the end, in tokens."""
         return self.prompt + self.output
 
     @property
     def near_term_tokens(self) -> int:
-        """Memory taken within the next seconds, in tokens."""
+        """Expected memory use within the next seconds, in tokens."""
         return self.prompt + min(self.output, NEAR_TERM_OUTPUT_TOKENS)
--- a/packages/gateway/src/chivepier/gateway/targets/entryload.py
+++ b/packages/gateway/src/chivepier/gateway/targets/entryload.py
@@ -1,15 +1,19 @@
-"""What one entry runs at one target."""
+"""The load of one entry at one target."""
 
 import attrs
 
 
 @attrs.define
 class EntryLoad:
-    """Absolute counts, as :class:`LoadRecord` carries them.
+    """Absolute counts with the contents of a :class:`LoadRecord`.
 
-    :param avoided_until: until when this entry avoids the target, in
-        monotonic seconds
-    :param heard: when they were said, in monotonic seconds
+    :param copy_ms: time that the entry still needs to copy memory off the
+        target, in milliseconds
+    :param is_copying: whether the entry copies memory off the target now
+    :param avoiding: 1 if the entry avoids the target, else 0
+    :param avoided_until: monotonic time until which this entry avoids the
+        target, in seconds
+    :param heard: monotonic time at which the counts arrived, in seconds
     """
 
     runs: int = 0
@@ -24,7 +28,7 @@
 
     @property
     def counts(self) -> tuple[int, int, int, int, bool, int, int]:
-        """The counts, in the order of the message's fields."""
+        """The counts in the order of the fields of the message."""
         return (
             self.runs,
             self.tokens,
--- a/packages/gateway/src/chivepier/gateway/targets/leavingtargets.py
+++ b/packages/gateway/src/chivepier/gateway/targets/leavingtargets.py
@@ -1,4 +1,4 @@
-"""The targets that told this entry in an answer that they leave."""
+"""Targets that told this entry in a response that they are leaving."""
 
 from chivepier.gateway.targets.target import Target
 from chivepier.gateway.targets.targetstate import TargetState
@@ -7,12 +7,12 @@
 
 
 class LeavingTargets:
-    """Takes what answers say, and keeps it to be told to the voters.
+    """Records leaving targets and lists them for the voters.
 
-    An answer may come before the target's own announcement, or in its place:
-    the voters, and through them the other entries, know by it as well.
+    A response may arrive before the target's own announcement, or instead of
+    it. The voters learn of it here and pass it on to the other entries.
 
-    :param table: the targets
+    :param table: table of the known targets
     """
 
     def __init__(self, table: TargetTable):
@@ -21,11 +21,11 @@
         self.changed = Signal()
 
     def record(self, target: Target, now: float) -> bool:
-        """Take that a target said in an answer that it leaves.
+        """Record that a response announced the end of its target.
 
-        :param target: as it was known when it was sent to
-        :param now: monotonic seconds
-        :returns: whether it was news
+        :param target: the target as known when the request was sent
+        :param now: current monotonic time, in seconds
+        :returns: whether this was not known before
         """
         news = self._table.mark_leaving(target.instance, target.born, now)
         if news:
@@ -34,7 +34,7 @@
         return news
 
     def list_unconfirmed(self) -> list[Target]:
-        """Return those that the voters are to be told of."""
+        """Return the leaving targets to report to the voters."""
         for instance, target in list(self._unconfirmed.items()):
             known = self._table.get(instance)
             if (
--- a/packages/gateway/src/chivepier/gateway/targets/liveness.py
+++ b/packages/gateway/src/chivepier/gateway/targets/liveness.py
@@ -1,10 +1,10 @@
-"""Whether a target lives, as a look at it showed."""
+"""The result of a liveness probe of a target."""
 
 import enum
 
 
 class Liveness(enum.Enum):
-    """What came of connecting to a target's address."""
+    """Whether a connection to a target's address showed it alive."""
 
     ENDED = "ended"
     LIVES = "lives"
--- a/packages/gateway/src/chivepier/gateway/targets/load.py
+++ b/packages/gateway/src/chivepier/gateway/targets/load.py
@@ -1,16 +1,16 @@
-"""What runs at a target."""
+"""The load of a target."""
 
 import attrs
 
 
 @attrs.frozen(kw_only=True)
 class Load:
-    """Counts over generations at one target.
+    """Load of one target, summed over its generations.
 
-    :param runs: generations
-    :param tokens: memory that they take, or are expected to take in the end
-    :param reading: tokens of prompts that have not been read in yet
-    :param receiving: copies that are being sent to it
+    :param runs: number of generations
+    :param tokens: memory that they take, or are expected to take at their end
+    :param reading: prompt tokens that have not been read yet
+    :param receiving: number of memory copies being sent to the target
     """
 
     runs: int = 0
--- a/packages/gateway/src/chivepier/gateway/targets/loadbalancer.py
+++ b/packages/gateway/src/chivepier/gateway/targets/loadbalancer.py
@@ -1,4 +1,4 @@
-"""Choosing a target."""
+"""Choice of a target by load."""
 
 import collections.abc
 import random
@@ -15,51 +15,54 @@
 from chivepier.gateway.targets.targettable import TargetTable
 from chivepier.types import Clock
 
-# Choices that differ by less than this share of a target are drawn among: many
-# entries see the same loads and would all pick one.
+# Targets whose costs differ by less than this from the lowest are equivalent
+# and chosen at random: many entries see the same loads and would all choose
+# the same target.
 TIE_MARGIN = 0.04
-# Targets that are drawn for each generation, of which the best is taken: one
-# that has just started would get all that comes before its load is known.
+# Number of random candidates per generation, of which the best is chosen. A
+# target that just started would otherwise get all requests until its load is
+# known.
 SAMPLE_SIZE = 3
-# What a token of a prompt that is still to be read counts as: by memory alone,
-# a target that has just started would get every prompt.
+# Weight of a prompt token that is still to be read, relative to a token in
+# memory. By memory alone, a target that just started would get every prompt.
 PREFILL_WEIGHT = 3.0
-# What a target that still warms up counts as, in shares of a full one.
+# Added cost of a target that is warming up; 1 is the cost of a full target.
 WARMING_COST = 0.2
-# What another availability zone counts as when memory is moved, in shares of a
-# target for each second that is still to be copied off the source.
+# Added cost of a destination in another availability zone, per second of
+# copies that are still to be made from the source.
 OTHER_ZONE_COST_PER_SECOND = 0.4
-# What a target counts as for each copy that it receives already, as copies
-# share its link.
+# Added cost per copy that a destination already receives, as copies share its
+# link.
 RECEIVING_COST = 0.5
-# What a target in need counts as when memory is moved, in shares of a full
-# one: more than any other, as the generation would have to wait for its turn.
+# Added cost of a rate-limited destination: it is the last choice, as the
+# generation would have to wait for its turn.
 RATE_LIMITED_COST = 10.0
-# Generations may fill a target up to this share of its memory, each with what
-# it adds within some seconds.
+# Maximum share of a target's memory that generations may use, including the
+# tokens that they add within the next seconds.
 MAX_MEMORY_SHARE = 1.0
-# Share of its objective that a prompt may take to be read at a target, with
-# those before it. What waits at its entry can still go elsewhere.
+# Maximum share of the time objective for reading a prompt and those before it.
+# A request that waits at its entry can still go to another target.
 MAX_PREFILL_SHARE = 0.5
-# Entries whose word makes the others avoid a target; of fewer, each may have
-# lost its own link.
+# Number of entries that must avoid a target before all entries avoid it; fewer
+# may have lost their own connection.
 MIN_AVOIDING_ENTRIES = 3
 
 
 class LoadBalancer:
-    """Picks the target with the most room, by loads of all entries.
-
-    ``pace`` learns from first events how fast prompts are read; what bounds
-    and orders waiting requests asks it too.
-
-    :param table: the targets
-    :param health: how they answered
-    :param board: what runs where
-    :param zone: this node's availability zone
-    :param clock: monotonic time
-    :param rng: draws among equals
-    :param limits: what targets in need take; nothing bounds it by default
-    :param rests: which targets get nothing for a while; none by default
+    """Chooses the target with the most free capacity over all entries.
+
+    ``prefill_estimator`` learns from first events how fast prompts are read;
+    the queue of waiting requests uses it too.
+
+    :param table: known targets
+    :param health: health of the targets
+    :param board: load of the targets
+    :param zone: availability zone of this node
+    :param clock: source of monotonic time
+    :param rng: random source for the choice among equivalent targets
+    :param limits: rate limits that targets announced; none by default
+    :param rests: targets that asked for no requests for a while; none by
+        default
     """
 
     def __init__(
@@ -85,10 +88,9 @@
         self._in_flight: dict[str, int] = {}
 
     def avoid_unreachable(self, instance: str) -> None:
-        """Note that a target could not be reached or fell silent.
+        """Avoid an unreachable or silent target for a while.
 
-        :param instance: that this entry avoids for a while; the others are
-            told
+        :param instance: name of the target; the other entries are told
         """
         now = self._clock.monotonic()
         self._loads.avoid(
@@ -96,11 +98,11 @@
         )
 
     def record_start(self, instance: str) -> None:
-        """Note that this entry sent a request to a target."""
+        """Count a request that this entry sent to a target."""
         self._in_flight[instance] = self._in_flight.get(instance, 0) + 1
 
     def record_end(self, instance: str) -> None:
-        """Note that a request there has ended."""
+        """Count the end of a request at a target."""
         left = self._in_flight.get(instance, 0) - 1
         if left > 0:
             self._in_flight[instance] = left
@@ -108,7 +110,7 @@
             self._in_flight.pop(instance, None)
 
     def is_zone_open(self, target: Target) -> bool:
-        """Tell whether anything may be sent to a target's zone."""
+        """Tell whether a target's zone is not evacuated."""
         now = self._clock.monotonic()
         return not self._table.zones.is_evacuated(target.zone, now)
 
@@ -120,14 +122,14 @@
         without: collections.abc.Collection[str] = (),
         regions: collections.abc.Collection[str] | None = None,
     ) -> Target | None:
-        """Pick a target.
-
-        :param service: whose targets
-        :param engine: set when they run generations
-        :param demand: the generation's size, where one is to be run
-        :param without: instances that must not be picked
-        :param regions: that the request may reach; ``None`` for all
-        :returns: the target; ``None`` when there is none left
+        """Choose a target.
+
+        :param service: name of the service
+        :param engine: engine settings if the targets run generations
+        :param demand: size of the generation, if one is to be started
+        :param without: names of instances to exclude
+        :param regions: regions that the request may reach; ``None`` for all
+        :returns: the target; ``None`` if there is no candidate
         """
         ranked = self.rank(service, engine, demand, without, regions=regions)
         return ranked[0] if ranked else None
@@ -141,10 +143,10 @@
         roomy: bool = False,
         regions: collections.abc.Collection[str] | None = None,
     ) -> list[Target]:
-        """Order the targets, the best one first; see :meth:`choose`.
+        """Return the targets, the best first; see :meth:`choose`.
 
-        :param roomy: whether full targets are left out
-        :param regions: that the request may reach; ``None`` for all
+        :param roomy: whether full targets are excluded
+        :param regions: regions that the request may reach; ``None`` for all
         """
         now = self._clock.monotonic()
         healthy = self._select_healthy(service, without, now, regions)
@@ -183,7 +185,7 @@
         now: float,
         regions: collections.abc.Collection[str] | None,
     ) -> list[Target]:
-        """Return the targets without those that asked for rest."""
+        """Return the targets that did not ask for a pause."""
         found = self._table.select(service, now, regions)
         if not self._rests:
             return found
@@ -197,10 +199,10 @@
         service: str,
         regions: collections.abc.Collection[str] | None = None,
     ) -> list[Target]:
-        """Return the targets that may be sent to, avoided ones included.
+        """Return the targets that accept requests, including avoided ones.
 
-        :param service: whose targets
-        :param regions: that the request may reach; ``None`` for all
+        :param service: name of the service
+        :param regions: regions that the request may reach; ``None`` for all
         """
         return self._select_not_resting(
             service, self._clock.monotonic(), regions
@@ -211,11 +213,11 @@
         service: str,
         regions: collections.abc.Collection[str] | None = None,
     ) -> float | None:
-        """Return the seconds until a target is back, where all are at rest.
+        """Return the seconds until a target accepts requests again.
 
-        :param service: whose targets
-        :param regions: that the request may reach; ``None`` for all
-        :returns: ``None`` where any may be sent something now, or none is
+        :param service: name of the service
+        :param regions: regions that the request may reach; ``None`` for all
+        :returns: ``None`` if any target accepts requests now, or if none is
             known
         """
         if not self._rests:
@@ -228,10 +230,10 @@
         return min(pauses)
 
     def _exclude_avoided(self, targets: list[Target], now: float) -> list:
-        """Leave out what several entries avoid, more than the others.
+        """Exclude targets that several entries avoid.
 
-        Entries that are cut off avoid all targets: the least avoided one
-        counts as sound.
+        Entries that are cut off avoid all targets, so the counts are compared
+        with that of the least avoided target.
         """
         counts = [self._loads.count_avoiding(t.instance, now) for t in targets]
         most = min(counts) + MIN_AVOIDING_ENTRIES
@@ -246,18 +248,19 @@
         without: collections.abc.Collection[str] = (),
         regions: collections.abc.Collection[str] | None = None,
     ) -> Target | None:
-        """Pick the target that a generation's memory is copied to.
-
-        Only memory counts: there is no prompt to be read, so a target that
-        has just started is the best place, whatever it reads.
-
-        :param service: whose targets
-        :param engine: what they can do
-        :param tokens: of the copy
-        :param source: where it runs; its availability zone is preferred
-        :param without: instances that must not be picked
-        :param regions: that the generation may reach; ``None`` for all
-        :returns: the target; ``None`` when none has room
+        """Choose the target that a generation's memory is copied to.
+
+        Only free memory counts. There is no prompt to read, so a target that
+        just started is the best choice, whatever prompts it reads.
+
+        :param service: name of the service
+        :param engine: engine settings of the targets
+        :param tokens: size of the copy, in tokens
+        :param source: current target; its availability zone is preferred
+        :param without: names of instances to exclude
+        :param regions: regions that the generation may reach; ``None`` for
+            all
+        :returns: the target; ``None`` if none has enough memory
         """
         now = self._clock.monotonic()
         far_cost = (
@@ -288,7 +291,7 @@
     def _draw_order(
         self, costs: dict[str, float], sample: bool
     ) -> dict[str, tuple[bool, float]]:
-        """Return what the targets are sorted by."""
+        """Return the sort key of each target."""
         least = min(costs.values())
         names = list(costs)
         first = set(names)
@@ -318,10 +321,11 @@
         return self._get_generation_cost(target, engine, demand, now)
 
     def has_room(self, target: Target, engine: Engine, demand: Demand) -> bool:
-        """Tell whether all there fits for some seconds, one more included.
+        """Tell whether a target has memory and time for one more generation.
 
-        A target that has room now may not have it when what runs there has
-        grown: it then preempts the newest, and reads it in again.
+        Includes the growth of running generations within the next seconds. A
+        target that runs out of memory preempts the newest generation and later
+        reads it again.
         """
         now = self._clock.monotonic()
         load = self._loads.get_total(target.instance, now)
@@ -338,7 +342,7 @@
         return seconds <= MAX_PREFILL_SHARE * demand.objective
 
     def find_load(self, instance: str) -> Load:
-        """Return what all entries run at a target."""
+        """Return the load of a target over all entries."""
         return self._loads.get_total(instance, self._clock.monotonic())
 
     def count_free_places(
@@ -348,12 +352,12 @@
         demand: Demand,
         regions: collections.abc.Collection[str] | None = None,
     ) -> int:
-        """Count how many more generations of a size find room.
+        """Count how many more generations of a size fit into memory.
 
-        :param service: whose targets
-        :param engine: what they can do
-        :param demand: the size of each
-        :param regions: that they may reach; ``None`` for all
+        :param service: name of the service
+        :param engine: engine settings of the targets
+        :param demand: size of each generation
+        :param regions: regions that they may reach; ``None`` for all
         """
         now = self._clock.monotonic()
         places = 0
@@ -366,7 +370,7 @@
     def count_leaving(self, service: str) -> int:
         """Count the generations whose target leaves.
 
-        :param service: whose targets
+        :param service: name of the service
         """
         now = self._clock.monotonic()
         return sum(
--- a/packages/gateway/src/chivepier/gateway/targets/loadtracker.py
+++ b/packages/gateway/src/chivepier/gateway/targets/loadtracker.py
@@ -1,4 +1,4 @@
-"""What all entries together run at each target."""
+"""The load of each target over all entries."""
 
 import collections
 
@@ -7,15 +7,17 @@
 from chivepier.gateway.targets.load import Load
 from chivepier.types import Signal
 
-# Seconds after which what an entry last said no longer counts. Entries
-# repeat themselves every second; three losses in a row are no accident.
+# Seconds after which the last report of an entry expires. Entries report every
+# second; three lost reports in a row are unlikely.
 REPORT_EXPIRY_SECONDS = 3.5
 
 
 class LoadTracker:
-    """Absolute counts by entry and target; a lost message heals itself.
+    """Stores absolute counts by entry and target.
 
-    :param me: this entry's name
+    The next report corrects the effect of a lost one.
+
+    :param own_entry: name of this entry
     """
 
     def __init__(self, me: str):
@@ -26,10 +28,10 @@
         )
 
     def put(self, record: LoadRecord, now: float) -> None:
-        """Take what an entry says it runs at a target.
+        """Store the reported load of an entry at a target.
 
-        :param record: its counts
-        :param now: monotonic seconds
+        :param record: reported counts
+        :param now: current monotonic time, in seconds
         """
         if record.entry == self.own_entry:
             return
@@ -45,7 +47,7 @@
         )
 
     def drop_all_remote(self) -> None:
-        """Forget all other entries, which are about to be told anew."""
+        """Drop the counts of all other entries before a full update."""
         for instance, entries in list(self._loads.items()):
             if self.own_entry in entries:
                 self._loads[instance] = {
@@ -62,7 +64,7 @@
         reading: int = 0,
         receiving: int = 0,
     ) -> None:
-        """Add to what this entry itself runs at a target."""
+        """Add to the load of this entry at a target."""
         load = self._loads[instance].setdefault(self.own_entry, EntryLoad())
         load.runs += runs
         load.tokens += tokens
@@ -71,31 +73,31 @@
         self.changed.set()
 
     def set_copy_time(self, instance: str, milliseconds: int) -> None:
-        """Say how long this entry copies memory off a leaving target."""
+        """Set how long this entry copies memory off a leaving target."""
         load = self._loads[instance].setdefault(self.own_entry, EntryLoad())
         load.copy_ms = milliseconds
         self.changed.set()
 
     def set_copying(self, instance: str, copying: bool) -> None:
-        """Say whether this entry copies memory off a target now."""
+        """Set whether this entry copies memory off a target now."""
         load = self._loads[instance].setdefault(self.own_entry, EntryLoad())
         load.is_copying = copying
         self.changed.set()
 
     def avoid(self, instance: str, until: float) -> None:
-        """Say that this entry sends nothing to a target for a while.
+        """Report that this entry avoids a target for a while.
 
-        :param instance: the target's
-        :param until: in monotonic seconds
+        :param instance: name of the target
+        :param until: monotonic time at which that ends, in seconds
         """
         load = self._loads[instance].setdefault(self.own_entry, EntryLoad())
         load.avoiding, load.avoided_until = 1, until
         self.changed.set()
 
     def expire_avoiding(self, now: float) -> None:
-        """Take back what this entry no longer avoids.
+        """Clear the expired avoidance reports of this entry.
 
-        :param now: monotonic seconds
+        :param now: current monotonic time, in seconds
         """
         for entries in self._loads.values():
             load = entries.get(self.own_entry)
@@ -103,10 +105,10 @@
                 load.avoiding = 0
 
     def count_avoiding(self, instance: str, now: float) -> int:
-        """Return how many entries send nothing to a target.
+        """Return the number of entries that avoid a target.
 
-        :param instance: the target's
-        :param now: monotonic seconds
+        :param instance: name of the target
+        :param now: current monotonic time, in seconds
         """
         count = 0
         for entry, load in self._loads.get(instance, {}).items():
@@ -117,7 +119,7 @@
         return count
 
     def list_own(self) -> list[LoadRecord]:
-        """Return what this entry runs, by target."""
+        """Return the load of this entry by target."""
         return [
             LoadRecord(
                 self.own_entry, instance, *entries[self.own_entry].counts
@@ -127,10 +129,10 @@
         ]
 
     def get_total(self, instance: str, now: float) -> Load:
-        """Return what runs at a target over all entries.
+        """Return the load of a target over all entries.
 
-        :param instance: the target's
-        :param now: monotonic seconds
+        :param instance: name of the target
+        :param now: current monotonic time, in seconds
         """
         runs = tokens = reading = receiving = 0
         for entry, load in self._loads.get(instance, {}).items():
@@ -150,11 +152,11 @@
         )
 
     def get_pending_copy_seconds(self, instance: str, now: float) -> float:
-        """Return what all entries have still to copy off a target.
+        """Return the remaining copy time off a target over all entries.
 
-        :param instance: the target's
-        :param now: monotonic seconds
-        :returns: seconds of its link, as if all went to other zones
+        :param instance: name of the target
+        :param now: current monotonic time, in seconds
+        :returns: seconds of its link, as if all copies went to other zones
         """
         milliseconds = sum(
             load.copy_ms
@@ -165,14 +167,14 @@
         return milliseconds / 1000
 
     def get_copy_wait_ms(self, instance: str, now: float) -> int:
-        """Return what is copied before this entry's turn.
+        """Return the copy time of the entries that go before this one.
 
-        Entries go in the order of their names, but one that copies already
-        is not interrupted.
+        Entries copy in the order of their names, but a running copy is not
+        interrupted.
 
-        :param instance: the target's
-        :param now: monotonic seconds
-        :returns: milliseconds
+        :param instance: name of the target
+        :param now: current monotonic time, in seconds
+        :returns: time until this entry may copy, in milliseconds
         """
         return sum(
             load.copy_ms
@@ -186,14 +188,14 @@
         )
 
     def drop_own(self, instance: str) -> None:
-        """Drop this entry's count where it runs nothing any more."""
+        """Drop the counts of this entry at a target without generations."""
         entries = self._loads.get(instance, {})
         entries.pop(self.own_entry, None)
         if not entries:
             self._loads.pop(instance, None)
 
     def drop_remote(self, instance: str) -> None:
-        """Drop what other entries run at a target that is gone."""
+        """Drop the counts of other entries at a target that is gone."""
         own = self._loads.get(instance, {}).get(self.own_entry)
         if own is None:
             self._loads.pop(instance, None)
--- a/packages/gateway/src/chivepier/gateway/targets/prefillestimator.py
+++ b/packages/gateway/src/chivepier/gateway/targets/prefillestimator.py
@@ -1,18 +1,18 @@
-"""How fast the targets of each service read prompts."""
+"""Estimates of prefill time by service."""
 
 import collections
 import statistics
 
-# First events that count. Their median stands for the service, as one that
-# waited for memory takes many times as long a token.
+# Number of recent first events whose median represents a service. A mean would
+# be dominated by requests that waited for memory.
 MAX_SAMPLES = 9
 
 
 class PrefillEstimator:
-    """Median seconds a token, from a request's send to its first event.
+    """Median seconds per prompt token, from send to first event.
 
-    Targets read prompts in chunks between the steps of what runs there, so
-    the pace follows their load; it is measured, not configured.
+    Targets read prompts in chunks between the decoding steps of running
+    generations. Prefill speed depends on their load, so it is measured.
     """
 
     def __init__(self) -> None:
@@ -20,11 +20,11 @@
         self._median: dict[str, float] = {}
 
     def record(self, service: str, tokens: int, seconds: float) -> None:
-        """Note a first event.
+        """Record a first event.
 
-        :param service: whose target it came from
-        :param tokens: that were read there until then, from the send on
-        :param seconds: since the send
+        :param service: name of the service
+        :param tokens: number of prompt tokens read there since the send
+        :param seconds: time since the send, in seconds
         """
         if tokens <= 0 or seconds <= 0:
             return
@@ -35,5 +35,5 @@
         self._median[service] = statistics.median(seen)
 
     def estimate(self, service: str, tokens: int) -> float:
-        """Return how long tokens take to read, in seconds; 0 if unknown."""
+        """Return the time to read tokens, in seconds; 0 if unknown."""
         return tokens * self._median.get(service, 0.0)
--- a/packages/gateway/src/chivepier/gateway/targets/queuetracker.py
+++ b/packages/gateway/src/chivepier/gateway/targets/queuetracker.py
@@ -1,4 +1,4 @@
-"""What waits for room at all entries."""
+"""Queued requests over all entries."""
 
 import collections
 
@@ -8,14 +8,14 @@
 
 
 class QueueTracker:
-    """Requests that wait, by service and rank; the lowest rank goes first.
+    """Counts queued requests by service and rank; the lowest goes first.
 
-    Each entry looks for room by itself. Without knowing what waits at the
-    others, a request that came just now takes the room for which a more
-    urgent one has waited elsewhere.
+    Each entry assigns targets on its own. Without the counts of the others, a
+    new request could take the capacity that a more urgent one waits for at
+    another entry.
 
-    :param me: this entry's name
-    :param changed: set whenever this entry's own counts change
+    :param own_entry: name of this entry
+    :param changed: set whenever the counts of this entry change
     """
 
     def __init__(self, me: str, changed: Signal):
@@ -27,31 +27,31 @@
         )
 
     def enter(self, service: str, rank: int) -> None:
-        """Count one more request that waits here."""
+        """Count a request that starts to wait here."""
         self._own[(service, rank)] += 1
         self._changed.set()
 
     def leave(self, service: str, rank: int) -> None:
-        """Count one less."""
+        """Count a request that stops waiting here."""
         self._own[(service, rank)] -= 1
         self._changed.set()
 
     def put(self, record: QueueRecord, now: float) -> None:
-        """Take what another entry says of its own.
+        """Store the count of another entry.
 
-        :param record: its count
-        :param now: monotonic seconds
+        :param record: reported count
+        :param now: current monotonic time, in seconds
         """
         if record.entry != self.own_entry:
             key = (record.service, record.rank)
             self._remote[key][record.entry] = (record.waiting, now)
 
     def drop_all_remote(self) -> None:
-        """Forget all other entries, which are about to be told anew."""
+        """Drop the counts of all other entries before a full update."""
         self._remote.clear()
 
     def list_own(self) -> list[QueueRecord]:
-        """Return what waits here; what waits no more comes once, as 0."""
+        """Return the counts of this entry; a count of 0 is reported once."""
         records = [
             QueueRecord(self.own_entry, service, rank, waiting)
             for (service, rank), waiting in self._own.items()
@@ -61,11 +61,11 @@
         return records
 
     def count_ahead(self, service: str, rank: int, now: float) -> int:
-        """Count the requests that go before one of this rank.
+        """Count the queued requests of lower rank, which go first.
 
-        :param service: whose targets are waited for
-        :param rank: of the request
-        :param now: monotonic seconds
+        :param service: name of the service
+        :param rank: rank of the request
+        :param now: current monotonic time, in seconds
         """
         own = sum(
             waiting
--- a/packages/gateway/src/chivepier/gateway/targets/responsehistory.py
+++ b/packages/gateway/src/chivepier/gateway/targets/responsehistory.py
@@ -1,17 +1,17 @@
-"""How one target has answered lately."""
+"""The recent responses of one target."""
 
 import attrs
 
 
 @attrs.define
 class ResponseHistory:
-    """Averages, and for how long the target is avoided.
+    """Moving averages, and the backoff of an unreachable target.
 
-    :param failures: share of its answers that were failures
-    :param slowness: time taken over the objective
-    :param noted: when it last answered, in monotonic seconds
-    :param pause: seconds for which it is avoided the next time
-    :param until: when it may be tried again, in monotonic seconds
+    :param failure_rate: average share of responses that were failures
+    :param latency_ratio: average response time divided by the objective
+    :param updated_at: monotonic time of the last response, in seconds
+    :param backoff: last time for which it was avoided, in seconds
+    :param avoided_until: monotonic time until which it is avoided, in seconds
     """
 
     failure_rate: float = 0.0
--- a/packages/gateway/src/chivepier/gateway/targets/target.py
+++ b/packages/gateway/src/chivepier/gateway/targets/target.py
@@ -1,4 +1,4 @@
-"""One target instance, as this node knows it."""
+"""A target instance as known to this node."""
 
 import attrs
 
@@ -7,15 +7,16 @@
 
 @attrs.define(kw_only=True)
 class Target:
-    """A target's latest announcement.
+    """Holds the latest announcement of a target.
 
-    :param instance: its name, which it may keep over a restart
-    :param born: Unix milliseconds of its start; with the name it tells one
-        life of a target from the next. 0: it does not tell
-    :param number: orders the announcements of one life
-    :param heard: when it was last known to live, in monotonic seconds
-    :param said: when it made this announcement, in monotonic seconds
-    :param warm_at: when it works at full speed, in monotonic seconds
+    :param instance: name of the target, which may survive a restart
+    :param born: start of the target in Unix milliseconds; together with the
+        name it identifies one incarnation; 0 if the target does not tell
+    :param number: sequence number of the announcement in its incarnation
+    :param heard: monotonic time of the last sign of life, in seconds
+    :param warm_at: monotonic time from which on it runs at full speed, in
+        seconds
+    :param announced_at: monotonic time of this announcement, in seconds
     """
 
     instance: str
--- a/packages/gateway/src/chivepier/gateway/targets/targethealth.py
+++ b/packages/gateway/src/chivepier/gateway/targets/targethealth.py
@@ -1,24 +1,25 @@
-"""How the targets have answered lately."""
+"""The health of targets, by their recent responses."""
 
 from chivepier.gateway.targets.responsehistory import ResponseHistory
 
-# Share by which one more outcome moves the average: about the last ten
-# answers count, so five failures in a row stand out and one does not.
+# Weight of a new response in the moving average: about the last ten responses
+# count, so five failures in a row are significant and a single one is not.
 SMOOTHING_FACTOR = 0.15
-# A target is avoided when it fails this much more often than the others of
-# its service; services whose every target fails a seventh stay in use.
+# A target is avoided if its failure rate exceeds the median of its service by
+# more than this; a service whose targets all fail one request in seven stays
+# in use.
 MAX_EXCESS_FAILURE_RATE = 0.3
-# Seconds for which a target that could not be reached, or did not answer in
-# time, is avoided. Doubles up to the most while that goes on.
+# Backoff of a target that was unreachable or did not respond in time; it
+# doubles up to the maximum while the failures continue.
 MIN_BACKOFF_SECONDS = 0.5
 MAX_BACKOFF_SECONDS = 4.0
-# Seconds after which an average is no longer believed: a target that is
-# avoided gets no answers that could mend it.
+# Seconds after which an average is discarded: an avoided target gets no
+# requests whose responses could improve it.
 HISTORY_SECONDS = 4.0
 
 
 class TargetHealth:
-    """Averages of failures and times by target instance."""
+    """Tracks failures and response times by target instance."""
 
     def __init__(self) -> None:
         self._records: dict[str, ResponseHistory] = {}
@@ -26,12 +27,12 @@
     def record_response(
         self, instance: str, failed: bool, slowness: float, now: float
     ) -> None:
-        """Note a whole answer.
+        """Record a complete response.
 
-        :param instance: the target's
-        :param failed: whether it was a failure of the target
-        :param slowness: time taken over the objective
-        :param now: monotonic seconds
+        :param instance: name of the target
+        :param failed: whether the target failed
+        :param slowness: response time divided by the objective
+        :param now: current monotonic time, in seconds
         """
         record = self._records.setdefault(instance, ResponseHistory())
         if now - record.updated_at > HISTORY_SECONDS:
@@ -49,11 +50,11 @@
             record.avoided_until = 0.0
 
     def record_unreachable(self, instance: str, now: float) -> float:
-        """Note that a target could not be reached or fell silent.
+        """Record that a target was unreachable or stopped responding.
 
-        :param instance: the target's
-        :param now: monotonic seconds
-        :returns: until when it is avoided, in monotonic seconds
+        :param instance: name of the target
+        :param now: current monotonic time, in seconds
+        :returns: monotonic time until which it is avoided, in seconds
         """
         record = self._records.setdefault(instance, ResponseHistory())
         if now < record.avoided_until:
@@ -65,11 +66,11 @@
         return record.avoided_until
 
     def select_healthy(self, instances: list[str], now: float) -> set[str]:
-        """Leave out those that stand out; never all of them.
+        """Exclude unhealthy targets, but never all of them.
 
-        :param instances: of one service
-        :param now: monotonic seconds
-        :returns: those to use
+        :param instances: names of the targets of one service
+        :param now: current monotonic time, in seconds
+        :returns: names of the healthy targets
         """
         reached = {i for i in instances if not self._is_avoided(i, now)}
         if not reached:
@@ -81,14 +82,14 @@
         }
 
     def get_latency_ratio(self, instance: str, now: float) -> float:
-        """Return the average time over the objective, 0 when unknown."""
+        """Return the average latency ratio, 0 if unknown."""
         record = self._records.get(instance)
         if record is None or now - record.updated_at > HISTORY_SECONDS:
             return 0.0
         return record.latency_ratio
 
     def forget(self, instance: str) -> None:
-        """Drop a target that is gone."""
+        """Drop the history of a target that is gone."""
         self._records.pop(instance, None)
 
     def _is_avoided(self, instance: str, now: float) -> bool:
--- a/packages/gateway/src/chivepier/gateway/targets/targetstate.py
+++ b/packages/gateway/src/chivepier/gateway/targets/targetstate.py
@@ -1,10 +1,10 @@
-"""What a target says of its future."""
+"""The announced state of a target."""
 
 import enum
 
 
 class TargetState(enum.Enum):
-    """Whether a target takes new work."""
+    """Whether a target accepts new requests."""
 
     READY = "ready"
     LEAVING = "leaving"
--- a/packages/gateway/src/chivepier/gateway/targets/targettable.py
+++ b/packages/gateway/src/chivepier/gateway/targets/targettable.py
@@ -1,4 +1,4 @@
-"""The targets that announced themselves."""
+"""The targets known from their announcements."""
 
 import collections.abc
 
@@ -6,17 +6,17 @@
 from chivepier.gateway.targets.targetstate import TargetState
 from chivepier.gateway.zones import Zones
 
-# A target announces itself about every beat; after this many missed ones it
-# has most likely crashed. One or two may be late or lost.
+# Number of missed announcements after which a target has most likely crashed.
+# One or two may be late or lost.
 MAX_MISSED_HEARTBEATS = 3.5
-# Seconds for which an instance that left is remembered: a delayed
-# announcement of it would else bring it back to life.
+# Seconds for which a gone instance is kept, so that a delayed announcement
+# does not make it available again.
 GONE_RETENTION_SECONDS = 60.0
-# Seconds without a word after which an instance is forgotten.
+# Seconds without a sign of life after which an instance is dropped.
 SILENT_RETENTION_SECONDS = 30.0
 
-# Seconds by which a target's time to be warm must have moved to be news: an
-# announcement that took some tenths of a second on its way says no more.
+# Minimum change of a target's warm-up end that counts as a change: the network
+# delay of announcements varies by some tenths of a second.
 MIN_WARM_CHANGE_SECONDS = 0.3
 
 Watcher = collections.abc.Callable[[Target, TargetState | None], None]
@@ -24,10 +24,10 @@
 
 
 class TargetTable:
-    """Merges announcements, whatever way and in whatever order they come.
+    """Merges announcements that arrive by any path and in any order.
 
-    :param beat: seconds between a target's announcements
-    :param zones: where nothing new may be sent; nowhere by default
+    :param beat: interval between announcements of a target, in seconds
+    :param zones: evacuated availability zones; none by default
     """
 
     def __init__(self, beat: float, zones: Zones | None = None):
@@ -42,19 +42,20 @@
         return iter(list(self._targets.values()))
 
     def get(self, instance: str) -> Target | None:
-        """Find one instance."""
+        """Return the target of a name, if known."""
         return self._targets.get(instance)
 
     def is_leaving(self, instance: str) -> bool:
-        """Tell whether an instance said that it leaves."""
+        """Tell whether an instance is leaving or gone."""
         target = self._targets.get(instance)
         return target is not None and target.state is not TargetState.READY
 
     def put(self, target: Target) -> bool:
         """Merge an announcement.
 
-        :param target: what was announced, with the time it was heard
-        :returns: whether it was news, other than of being alive
+        :param target: the announcement, with the time of its arrival
+        :returns: whether it changed more than the time of the last sign of
+            life
         """
         known = self._targets.get(target.instance)
         if known is not None and target.born != known.born:
@@ -79,8 +80,8 @@
         before = known.state if known else None
         for watcher in self.watchers:
             watcher(target, before)
-        # a target that became cold since would else be sent what it can't
-        # bear: others than its own voter heard of its state alone
+        # report a target that became cold: other nodes would otherwise
+        # overload it, as only its own voter hears every announcement
         colder = known is not None and (
             target.warm_at > known.warm_at + MIN_WARM_CHANGE_SECONDS
             and target.warm_at > target.announced_at
@@ -88,29 +89,30 @@
         return before is not target.state or colder
 
     def _keep_leaving(self, target: Target) -> None:
-        # what left stays so, whatever announcement overtakes that word
+        # leaving is final, even if another announcement arrives first
         if target.state is TargetState.READY:
             target.state = TargetState.LEAVING
 
     def _apply_outdated(self, target: Target, known: Target) -> bool:
-        """Take a word that others have overtaken.
+        """Apply an announcement that is older than the known one.
 
-        That a target leaves holds from then on; all else of it is outdated.
+        Only the leaving state still applies; everything else is outdated.
         """
         if target.state is not TargetState.LEAVING:
             return False
         return self.mark_leaving(target.instance, target.born, known.heard)
 
     def mark_leaving(self, instance: str, born: int, now: float) -> bool:
-        """Take that a target leaves, from wherever it is known.
+        """Mark a target as leaving, whatever the source of that information.
 
-        It may be known before the target itself is, or while what the target
-        announces still says otherwise; no later word of this life undoes it.
+        It may arrive before the first announcement of the target, or while
+        announcements still say otherwise. No later announcement of the same
+        incarnation reverts it.
 
-        :param instance: the target's name
-        :param born: start of the life that leaves
-        :param now: monotonic seconds
-        :returns: whether it was news
+        :param instance: name of the target
+        :param born: start of the incarnation that is leaving
+        :param now: current monotonic time, in seconds
+        :returns: whether this was not known before
         """
         known = self._targets.get(instance)
         told = (instance, born) in self._leaving
@@ -127,10 +129,10 @@
     def mark_alive(
         self, instances: collections.abc.Iterable[str], now: float
     ) -> None:
-        """Note that targets live and have said nothing new.
+        """Record that targets are alive without changes.
 
-        :param instances: their names; unknown ones are left alone
-        :param now: monotonic seconds
+        :param instances: names of the targets; unknown ones are ignored
+        :param now: current monotonic time, in seconds
         """
         for instance in instances:
             known = self._targets.get(instance)
@@ -138,30 +140,30 @@
                 known.heard = max(known.heard, now)
 
     def _end_incarnation(self, known: Target) -> None:
-        """Tell that what was believed of a target has ended.
+        """Tell the watchers that an incarnation of a target has ended.
 
-        A target that starts again under its name counts from the beginning and
-        knows nothing of before: taken for the one that ran until then, its
-        words would be dropped as old. The watchers drop loads, health and
-        generations of the earlier life before they hear of the next.
+        A restarted target numbers its announcements from the beginning; as the
+        same incarnation, these would be dropped as old. The watchers drop the
+        load, health and generations of the old incarnation before they are
+        told of the new one.
         """
         known.state = TargetState.GONE
         for watcher in self.restart_watchers:
             watcher(known)
 
     def is_current(self, target: Target) -> bool:
-        """Tell whether a target has not started again since.
+        """Tell whether a target has not restarted since.
 
-        :param target: as it was known when something was sent to it
+        :param target: the target as known when a request was sent to it
         """
         known = self._targets.get(target.instance)
         return known is None or known.born == target.born
 
     def mark_gone(self, instance: str, address: str) -> None:
-        """Take an instance out that another one has replaced.
+        """Mark an instance as gone if another one has its address.
 
-        :param instance: whose address answers for another instance
-        :param address: where that was seen
+        :param instance: name of the replaced instance
+        :param address: address at which another instance responded
         """
         known = self._targets.get(instance)
         if known is None or known.address != address:
@@ -176,14 +178,14 @@
         now: float,
         regions: collections.abc.Collection[str] | None = None,
     ) -> list[Target]:
-        """Return the targets of a service that new work may go to.
+        """Return the targets of a service that accept new requests.
 
-        Silent ones are left out while any other is heard: when all are
-        silent it is this node that hears nothing, and they may well live.
+        Silent targets are excluded unless all are silent: then this node is
+        probably cut off, and the targets may be alive.
 
-        :param service: its name
-        :param now: monotonic seconds
-        :param regions: that the work may reach; ``None`` for all
+        :param service: name of the service
+        :param now: current monotonic time, in seconds
+        :param regions: regions that the request may reach; ``None`` for all
         :returns: the candidates
         """
         ready = [
@@ -199,7 +201,7 @@
         ]
 
     def select_leaving(self, service: str) -> list[Target]:
-        """Return the targets of a service that leave but still serve."""
+        """Return the targets of a service that are leaving but not gone."""
         return [
             target
             for target in self._targets.values()
@@ -208,11 +210,12 @@
         ]
 
     def is_silent(self, target: Target, now: float) -> bool:
-        """Tell whether a target alone has fallen silent.
+        """Tell whether a target is silent while others are not.
 
-        :param target: any
-        :param now: monotonic seconds
-        :returns: whether it is not heard while another of its service is
+        :param target: target to check
+        :param now: current monotonic time, in seconds
+        :returns: whether it is silent while another target of its service is
+            heard
         """
         known = self._targets.get(target.instance)
         if known is None or now - known.heard < self._silence_seconds:
@@ -224,9 +227,9 @@
         )
 
     def expire(self, now: float) -> None:
-        """Drop what has long been silent.
+        """Drop targets that have been silent or gone for long.
 
-        :param now: monotonic seconds
+        :param now: current monotonic time, in seconds
         """
         for target in list(self._targets.values()):
             gone = target.state is TargetState.GONE
