--- a/packages/gateway/src/chivepier/gateway/permits/tests/test_leaderclient.py
+++ b/packages/gateway/src/chivepier/gateway/permits/tests/test_leaderclient.py
@@ -1,4 +1,4 @@
-"""Tests of leave to send where the leader answers late."""
+"""Tests of permits from a leader that responds late."""
 
 import asyncio
 
@@ -18,27 +18,27 @@
 SENDS = 6
 
 
-class Slow:
-    """A leader that answers after a time, and an entry that asks it."""
+class SlowLeader:
+    """A leader that responds after a delay, and an entry that asks it."""
 
     def __init__(self, seconds: float):
         self.clock = LoopClock()
         self.seconds = seconds
-        self.ledger = SlidingWindowLimiter()
+        self.limiter = SlidingWindowLimiter()
         self.leader = LeaderClient(self._answer, self.clock)
-        self.lapses: list[float] = []
+        self.permit_lifetimes: list[float] = []
         self.sent: list[float] = []
 
     async def _answer(self, request: PermitRequest) -> PermitAnswer | None:
         await self.clock.sleep(self.seconds / 2)
         now = self.clock.monotonic()
-        granted = self.ledger.acquire("i1", MOST, now, request.lapse)
-        self.lapses.append(request.lapse)
+        granted = self.limiter.acquire("i1", MOST, now, request.lapse)
+        self.permit_lifetimes.append(request.lapse)
         await self.clock.sleep(self.seconds / 2)
         return PermitAnswer(granted)
 
     async def try_send(self) -> None:
-        """Send one request, if there is leave for it now."""
+        """Send one request if a permit is available now."""
         permit = self.leader.take_unused(KEY)
         if permit is None:
             pending, answer = await self.leader.ask(
@@ -55,48 +55,48 @@
 
 
 def run(test, seconds: float) -> None:
-    """Run a test's coroutine over a leader that answers so late."""
+    """Run a test coroutine with a leader that responds after a delay."""
 
     async def work():
         async with asyncio.timeout(60):
-            await test(Slow(seconds))
+            await test(SlowLeader(seconds))
 
     play_time(work())
 
 
 @pytest.mark.parametrize("seconds", (0.0, 0.15, 0.3, 0.6))
-def test_late_leader_lets_less_through_and_not_nothing(seconds):
-    # Leave lapsed before it came, each time: a cold target got nothing.
-    async def test(slow):
-        while len(slow.sent) < SENDS:
-            await slow.try_send()
+def test_late_leader_reduces_sends_but_does_not_stop_them(seconds):
+    # Every permit expired before it arrived, so a cold target got no requests.
+    async def test(rig):
+        while len(rig.sent) < SENDS:
+            await rig.try_send()
             await asyncio.sleep(0.02)
-        for first in slow.sent:
-            busy = sum(first <= at < first + 1.0 for at in slow.sent)
+        for first in rig.sent:
+            busy = sum(first <= at < first + 1.0 for at in rig.sent)
             assert busy <= MOST
-        assert max(slow.lapses) <= MAX_PERMIT_SECONDS
+        assert max(rig.permit_lifetimes) <= MAX_PERMIT_SECONDS
 
     run(test, seconds)
 
 
-def test_leave_is_short_again_once_answers_are_prompt():
-    async def test(slow):
-        while slow.leader.permit_seconds <= PERMIT_SECONDS:
-            await slow.try_send()
-        slow.seconds = 0.0
-        while slow.leader.permit_seconds > PERMIT_SECONDS:
-            await slow.try_send()
+def test_permits_are_short_again_once_answers_are_prompt():
+    async def test(rig):
+        while rig.leader.permit_seconds <= PERMIT_SECONDS:
+            await rig.try_send()
+        rig.seconds = 0.0
+        while rig.leader.permit_seconds > PERMIT_SECONDS:
+            await rig.try_send()
 
     run(test, 0.15)
 
 
-def test_leave_that_has_lapsed_is_not_kept():
-    async def test(slow):
-        slow.leader.permit_seconds = 0.2
-        await slow.leader.ask(KEY, PermitRequest("i1", MOST))
-        while not slow.lapses:
+def test_expired_permit_is_not_stored():
+    async def test(rig):
+        rig.leader.permit_seconds = 0.2
+        await rig.leader.ask(KEY, PermitRequest("i1", MOST))
+        while not rig.permit_lifetimes:
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.3)
-        assert slow.leader.take_unused(KEY) is None
+        assert rig.leader.take_unused(KEY) is None
 
     run(test, 0.3)
--- a/packages/gateway/src/chivepier/gateway/permits/tests/test_slidingwindowlimiter.py
+++ b/packages/gateway/src/chivepier/gateway/permits/tests/test_slidingwindowlimiter.py
@@ -1,4 +1,4 @@
-"""Tests of what may arrive at a cold target, however late each send is."""
+"""Tests of the arrival rate at a cold target with delayed sends."""
 
 from hypothesis import given
 from hypothesis import settings
@@ -9,12 +9,16 @@
 from chivepier.gateway.permits import PERMIT_SECONDS
 from chivepier.gateway.permits import SlidingWindowLimiter
 
-# Milliseconds, as times: whole numbers add up without error.
-LAPSES = [round(1000 * PERMIT_SECONDS), 400, round(1000 * MAX_PERMIT_SECONDS)]
-ASKED = strategies.lists(
+# Permit lifetimes in whole milliseconds, which add up without rounding errors.
+LIFETIMES_MS = [
+    round(1000 * PERMIT_SECONDS),
+    400,
+    round(1000 * MAX_PERMIT_SECONDS),
+]
+PERMIT_REQUESTS = strategies.lists(
     strategies.tuples(
         strategies.integers(0, 400),
-        strategies.sampled_from(LAPSES),
+        strategies.sampled_from(LIFETIMES_MS),
         strategies.floats(0.0, 0.999),
     ),
     max_size=80,
@@ -22,15 +26,15 @@
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
-@given(ASKED, strategies.integers(1, 6))
-def test_no_second_sees_more_than_the_bound(asked, most):
-    # Entries ask at any moment, and what they were given leave for arrives
-    # at once or as late as a permit and a connection allow.
-    ledger, now, arrived = SlidingWindowLimiter(), 0, []
-    for gap, lapse, share in asked:
+@given(PERMIT_REQUESTS, strategies.integers(1, 6))
+def test_no_second_has_more_arrivals_than_the_limit(requests, most):
+    # Entries request permits at any time; each permitted request arrives at
+    # once or as late as the permit and the connection timeout allow.
+    limiter, now, arrived = SlidingWindowLimiter(), 0, []
+    for gap, lifetime, share in requests:
         now += gap
-        latest = lapse + round(1000 * CONNECT_SECONDS)
-        if ledger.acquire("i1", most, now / 1000, lapse / 1000):
+        latest = lifetime + round(1000 * CONNECT_SECONDS)
+        if limiter.acquire("i1", most, now / 1000, lifetime / 1000):
             arrived.append(now + int(share * latest))
     for first in arrived:
         busy = sum(first <= moment < first + 1000 for moment in arrived)
--- a/packages/gateway/src/chivepier/gateway/targets/tests/test_loadbalancer.py
+++ b/packages/gateway/src/chivepier/gateway/targets/tests/test_loadbalancer.py
@@ -1,4 +1,4 @@
-"""Tests of choosing a target, by the load that they answer."""
+"""Tests of the choice of a target by load."""
 
 import collections
 import random
@@ -18,14 +18,14 @@
 
 
 class Choice:
-    """A chooser over some targets, with loads set by hand."""
+    """A load balancer over some targets, with given loads."""
 
     def __init__(self, *names: str):
         self.table = TargetTable(1.0)
         self.health = TargetHealth()
         self.board = LoadTracker("me")
         self.clock = ManualClock()
-        self.chooser = LoadBalancer(
+        self.balancer = LoadBalancer(
             self.table,
             self.health,
             self.board,
@@ -37,13 +37,13 @@
             self.table.put(make(name, address=f"{name}:1"))
 
     def load(self, name, runs=0, tokens=0, reading=0, entry="other"):
-        """Say what another entry runs."""
+        """Report the load of another entry."""
         record = LoadRecord(entry, name, runs, tokens, reading, 0)
         self.board.put(record, self.clock.monotonic())
 
     def pick(self, **options):
-        """Choose for a generation."""
-        return self.chooser.choose("s", ENGINE, DEMAND, **options).instance
+        """Choose a target for a generation."""
+        return self.balancer.choose("s", ENGINE, DEMAND, **options).instance
 
 
 def test_target_with_the_most_free_memory_is_taken():
@@ -53,7 +53,7 @@
     assert choice.pick() == "b"
 
 
-def test_slots_bind_where_generations_are_small():
+def test_slots_limit_small_generations():
     choice = Choice("a", "b")
     choice.load("a", runs=20, tokens=2_000)
     choice.load("b", runs=2, tokens=9_000)
@@ -61,7 +61,7 @@
 
 
 def test_new_target_does_not_get_every_prompt():
-    # A target that had just started got every prompt, each behind the others.
+    # A target that just started got every prompt, and they queued there.
     choice = Choice("new", "a", "b", "c")
     for name in ("a", "b", "c"):
         choice.load(name, runs=4, tokens=14_000)
@@ -78,15 +78,15 @@
     assert 1 <= counts["new"] <= 3
 
 
-def test_equals_are_drawn_among():
-    # Many entries see the same loads; all picking the first of two equals
-    # would send a whole burst to one target.
+def test_choice_among_equivalent_targets_is_random():
+    # Many entries see the same loads. If all chose the first of two
+    # equivalent targets, it would get a whole burst.
     choice = Choice("a", "b", "c")
     counts = collections.Counter(choice.pick() for _ in range(300))
     assert min(counts.values()) > 60
 
 
-def test_what_an_entry_said_long_ago_does_not_count():
+def test_expired_load_reports_are_ignored():
     choice = Choice("a", "b")
     choice.load("a", runs=9, tokens=33_000)
     choice.clock.advance(5.0)
@@ -122,15 +122,15 @@
     assert "a" in {choice.pick() for _ in range(50)}
 
 
-def test_copies_off_several_targets_do_not_share_a_link():
-    # Second copies, with their generations stopped, waited 0.2 to 0.6 s:
-    # copies off all leaving targets went to the emptiest one, over its link.
+def test_copies_off_several_targets_go_to_different_targets():
+    # Copies off all leaving targets went to the emptiest target and shared its
+    # link; stopped generations waited 0.2 to 0.6 s for second copies.
     choice = Choice("a", "b", "c")
     source = choice.table.get("a")
     choice.load("c", runs=3, tokens=12_000)
 
     def find(tokens=4_000):
-        return choice.chooser.choose_destination(
+        return choice.balancer.choose_destination(
             "s", ENGINE, tokens, source, {"a"}
         )
 
@@ -141,13 +141,13 @@
     assert find(31_000) is None
 
 
-def test_moved_generation_goes_where_memory_is_free_whatever_is_read():
-    # Copies avoided targets with room for the prompts that these had to read.
+def test_moved_generation_goes_to_free_memory_despite_prompts():
+    # Copies avoided targets with free memory if these had prompts to read.
     choice = Choice("a", "new", "full")
     source = choice.table.get("a")
     choice.load("new", runs=3, tokens=9_000, reading=9_000)
     choice.load("full", runs=7, tokens=28_000)
-    found = choice.chooser.choose_destination(
+    found = choice.balancer.choose_destination(
         "s", ENGINE, 4_000, source, {"a"}
     )
     assert found.instance == "new"
@@ -160,8 +160,8 @@
     assert choice.board.get_copy_wait_ms("a", 0.0) == 500
 
 
-def test_target_that_stands_out_gets_a_share_of_what_comes_at_once():
-    # All that came at once went to the target that had just started.
+def test_emptiest_target_gets_only_a_share_of_a_burst():
+    # A burst of requests went to the target that had just started.
     choice = Choice("new", *"bcdefghij")
     for name in "bcdefghij":
         choice.load(name, runs=4, tokens=20_000)
@@ -169,15 +169,15 @@
     assert 200 < counts["new"] < 400
 
 
-def test_target_is_full_when_what_runs_there_will_fill_it():
-    # Runs were preempted and read in again: a target had room when a
-    # request came, and none any more when all that ran there had grown.
+def test_target_is_full_if_its_generations_will_fill_it():
+    # A target had memory when a request arrived, but not after its generations
+    # had grown; it then preempted some and had to read them again.
     choice = Choice("a")
     target = choice.table.get("a")
     choice.load("a", runs=7, tokens=30_700)
-    assert choice.chooser.has_room(target, ENGINE, DEMAND)
+    assert choice.balancer.has_room(target, ENGINE, DEMAND)
     choice.load("a", runs=8, tokens=31_000)
-    assert not choice.chooser.has_room(target, ENGINE, DEMAND)
+    assert not choice.balancer.has_room(target, ENGINE, DEMAND)
 
 
 def test_entries_that_sort_before_this_one_copy_first():
@@ -188,14 +188,14 @@
     assert choice.board.get_copy_wait_ms("a", 0.0) == 300
 
 
-def test_copies_stay_in_their_zone_while_there_is_much_to_copy():
-    # Copies to other zones filled the leaving target's link until its end.
+def test_copies_stay_in_their_zone_while_many_are_pending():
+    # Copies to other zones saturated the leaving target's link until its end.
     choice = Choice("a", "near")
     choice.table.put(make("far", address="far:1", zone="y"))
     source = choice.table.get("a")
 
     def find():
-        return choice.chooser.choose_destination(
+        return choice.balancer.choose_destination(
             "s", ENGINE, 4_000, source, {"a"}
         ).instance
 
@@ -211,16 +211,16 @@
 
 
 def test_prompts_do_not_queue_behind_each_other_at_one_target():
-    # All that waited was read by the one target that had just started.
+    # All waiting prompts were sent to the one target that had just started.
     choice = Choice("new")
     target = choice.table.get("new")
     demand = Demand(prompt=3_000, output=900, objective=1.5)
     choice.load("new", runs=1, tokens=3_000, reading=3_000)
-    assert choice.chooser.has_room(target, ENGINE, demand)
-    choice.chooser.prefill_estimator.record("s", 6_000, 0.7)
-    assert choice.chooser.has_room(target, ENGINE, demand)
+    assert choice.balancer.has_room(target, ENGINE, demand)
+    choice.balancer.prefill_estimator.record("s", 6_000, 0.7)
+    assert choice.balancer.has_room(target, ENGINE, demand)
     choice.load("new", runs=2, tokens=6_000, reading=6_000)
-    assert not choice.chooser.has_room(target, ENGINE, demand)
+    assert not choice.balancer.has_room(target, ENGINE, demand)
     choice.load("new", runs=2, tokens=6_000)
     long = Demand(prompt=12_000, output=900, objective=1.5)
-    assert choice.chooser.has_room(target, ENGINE, long)
+    assert choice.balancer.has_room(target, ENGINE, long)
--- a/packages/gateway/src/chivepier/gateway/targets/tests/test_prefillestimator.py
+++ b/packages/gateway/src/chivepier/gateway/targets/tests/test_prefillestimator.py
@@ -1,35 +1,35 @@
-"""Tests of learning how fast prompts are read."""
+"""Tests of the estimates of prefill time."""
 
 import pytest
 
 from chivepier.gateway.targets import PrefillEstimator
 
 
-def test_nothing_is_expected_before_a_first_event_was_seen():
+def test_estimate_is_zero_before_the_first_event():
     assert PrefillEstimator().estimate("s", 3_000) == 0.0
 
 
-def test_pace_follows_what_is_seen_of_each_service():
-    pace = PrefillEstimator()
-    pace.record("s", 3_000, 0.3)
-    assert pace.estimate("s", 1_000) == pytest.approx(0.1)
+def test_estimate_follows_the_samples_of_each_service():
+    estimator = PrefillEstimator()
+    estimator.record("s", 3_000, 0.3)
+    assert estimator.estimate("s", 1_000) == pytest.approx(0.1)
     for _ in range(30):
-        pace.record("s", 3_000, 0.6)
-    assert pace.estimate("s", 1_000) == pytest.approx(0.2, rel=0.01)
-    assert pace.estimate("other", 1_000) == 0.0
+        estimator.record("s", 3_000, 0.6)
+    assert estimator.estimate("s", 1_000) == pytest.approx(0.2, rel=0.01)
+    assert estimator.estimate("other", 1_000) == 0.0
 
 
-def test_generation_without_a_prompt_says_nothing_of_the_pace():
-    pace = PrefillEstimator()
-    pace.record("s", 0, 0.3)
-    assert pace.estimate("s", 1_000) == 0.0
+def test_generation_without_a_prompt_is_not_sampled():
+    estimator = PrefillEstimator()
+    estimator.record("s", 0, 0.3)
+    assert estimator.estimate("s", 1_000) == 0.0
 
 
-def test_one_late_first_event_does_not_slow_the_pace():
-    # Requests were held back or counted as late for some seconds: one short
-    # prompt whose generation had waited for memory stood for all.
-    pace = PrefillEstimator()
+def test_one_late_first_event_does_not_raise_the_estimate():
+    # One short prompt whose generation waited for memory determined the
+    # estimate, so requests were held back or counted as late for some seconds.
+    estimator = PrefillEstimator()
     for _ in range(5):
-        pace.record("s", 3_000, 0.3)
-    pace.record("s", 300, 2.0)
-    assert pace.estimate("s", 1_000) == pytest.approx(0.1)
+        estimator.record("s", 3_000, 0.3)
+    estimator.record("s", 300, 2.0)
+    assert estimator.estimate("s", 1_000) == pytest.approx(0.1)
--- a/packages/gateway/src/chivepier/gateway/targets/tests/test_targettable.py
+++ b/packages/gateway/src/chivepier/gateway/targets/tests/test_targettable.py
@@ -1,4 +1,4 @@
-"""Tests of merging announcements that come late, twice and crossed."""
+"""Tests of merging late, repeated and reordered announcements."""
 
 import itertools
 
@@ -38,9 +38,9 @@
     )
 
 
-def test_warm_target_told_by_another_node_has_not_become_cold():
-    # Its time to be warm, 0, came as the moment of the message; each telling
-    # was news, and went to all entries at once.
+def test_warm_target_relayed_by_another_node_stays_warm():
+    # Its warm-up end, 0, was decoded as the time of the message. Every message
+    # then counted as a change and was sent to all entries at once.
     record = pack_target(make(heard=5.0), 6.0)
     table = TargetTable(1.0)
     table.put(unpack_target(record, 100.0))
@@ -49,8 +49,8 @@
 
 
 def test_late_announcement_does_not_bring_an_instance_back():
-    # New work went to a target that had left: an announcement from before
-    # was delayed by a cut and came after its farewell.
+    # A network partition delayed an announcement until after the target had
+    # left, so the target got new requests.
     table = TargetTable(1.0)
     table.put(make(number=3, state=LEAVING))
     assert not table.put(make(number=2))
@@ -75,8 +75,8 @@
 
 
 def test_all_are_kept_when_none_is_heard():
-    # The entry was cut off from every voter; all its targets fell silent at
-    # once, and it refused its callers though the targets were well.
+    # An entry was cut off from every voter. All its targets became silent at
+    # once, and it rejected requests although the targets were healthy.
     table = TargetTable(1.0)
     table.put(make("i1", heard=0.0))
     table.put(make("i2", heard=0.5))
@@ -93,7 +93,7 @@
     assert not table.select("s", 0.0)
 
 
-def test_watchers_hear_each_change_once():
+def test_watchers_are_called_once_per_change():
     table = TargetTable(1.0)
     seen = []
     table.watchers.append(lambda t, before: seen.append((t.state, before)))
@@ -125,11 +125,9 @@
 
 @settings(derandomize=True, max_examples=200)
 @given(STATES, strategies.randoms(use_true_random=False))
-def test_any_order_with_repeats_ends_no_earlier_than_the_newest(
-    states, shuffler
-):
-    # Nodes that got the same announcements in another order must not differ
-    # on whether a target takes new work.
+def test_any_order_with_repeats_ends_in_the_newest_state(states, shuffler):
+    # Nodes that get the same announcements in different orders must agree on
+    # whether a target accepts new requests.
     order = {READY: 0, LEAVING: 1, GONE: 2}
     ranks = itertools.accumulate((order[s] for s in states), max)
     told = [
@@ -145,8 +143,8 @@
     assert table.get("i1").state is expected
 
 
-def test_target_that_starts_again_under_its_name_is_used():
-    # The words of a target that had started again were dropped as old.
+def test_target_restarted_under_its_name_is_used():
+    # The announcements of a restarted target were dropped as old.
     table = TargetTable(1.0)
     ended = []
     table.restart_watchers.append(lambda target: ended.append(target.born))
@@ -157,17 +155,17 @@
 
 
 def test_target_that_left_may_start_again():
-    # An instance that had said farewell stayed dead for a minute, also when
-    # it was started again under its name.
+    # An instance that had left stayed gone for a minute, even if it was
+    # restarted under the same name.
     table = TargetTable(1.0)
     table.put(make(number=9, state=GONE, born=100))
     table.put(make(number=1, born=200))
     assert table.select("s", 0.0)
 
 
-def test_earlier_life_does_not_speak_for_a_later_one():
-    # An announcement of the life before came late, with a higher number, and
-    # took out the target that had started since.
+def test_earlier_incarnation_does_not_affect_a_later_one():
+    # A late announcement of the previous incarnation, with a higher number,
+    # removed the restarted target.
     table = TargetTable(1.0)
     table.put(make(number=1, born=200))
     assert not table.put(make(number=50, state=GONE, born=100))
@@ -175,7 +173,7 @@
     assert [t.address for t in table.select("s", 0.0)] == ["a:1"]
 
 
-def test_what_was_sent_to_an_earlier_life_is_told_apart():
+def test_request_to_an_earlier_incarnation_is_not_current():
     table = TargetTable(1.0)
     table.put(make(born=100))
     sent_to = table.get("i1")
@@ -195,8 +193,8 @@
     assert table.get("i2").heard == 5.0
 
 
-def test_word_of_leaving_that_was_overtaken_still_counts():
-    # A ready announcement with a later number had come by another way.
+def test_outdated_leaving_announcement_still_applies():
+    # A ready announcement with a higher number had arrived by another path.
     table = TargetTable(1.0)
     table.put(make(number=5))
     assert table.put(make(number=4, state=LEAVING))
@@ -205,7 +203,7 @@
 
 
 def test_target_that_left_and_was_forgotten_does_not_become_ready():
-    # An entry that was cut off heard nothing of it, and forgot it.
+    # An entry that was cut off did not hear of the target and dropped it.
     table = TargetTable(1.0)
     table.put(make(number=5))
     table.mark_leaving("i1", 0, 1.0)
@@ -215,7 +213,7 @@
     assert table.is_leaving("i1")
 
 
-def test_memory_of_targets_that_left_ends():
+def test_record_of_targets_that_left_expires():
     table = TargetTable(1.0)
     table.mark_leaving("i1", 0, 1.0)
     table.expire(62.0)
