--- a/packages/gateway/benchmarks/limitways.py
+++ b/packages/gateway/benchmarks/limitways.py
@@ -94,7 +94,7 @@
 
 def ask_leader(requests: list[Request], entries: int) -> list[float]:
     """Ask for a turn for each send, as the code that serves does."""
-    turns, claim = FairScheduler(random.Random(1)), Claim(patience=0.06)
+    turns, claim = FairScheduler(random.Random(1)), Claim(max_wait=0.06)
     pauses: dict[int, float] = {}
     sent = []
     for request in requests:
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_limits.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_limits.py
@@ -62,7 +62,7 @@
 
     async def send(self, follower, team: str = "t") -> bool:
         """Let one entry want to send once."""
-        claim = Claim(team, patience=0.1)
+        claim = Claim(team, max_wait=0.1)
         permit = await follower.permits.acquire(SERVICE, self.target, claim)
         if permit is not None:
             self.moments.append(tell_time())
--- a/packages/gateway/src/chivepier/gateway/permits/__init__.py
+++ b/packages/gateway/src/chivepier/gateway/permits/__init__.py
@@ -5,10 +5,10 @@
 from chivepier.gateway.permits.fairscheduler import FairScheduler
 from chivepier.gateway.permits.fairscheduler import MIN_SENDS_PER_SECOND
 from chivepier.gateway.permits.fallbacklimiter import FallbackLimiter
-from chivepier.gateway.permits.leaderclient import LeaderClient
 from chivepier.gateway.permits.permit import MAX_PERMIT_SECONDS
 from chivepier.gateway.permits.permit import Permit
 from chivepier.gateway.permits.permit import PERMIT_SECONDS
+from chivepier.gateway.permits.permitclient import PermitClient
 from chivepier.gateway.permits.senddecision import SendDecision
 from chivepier.gateway.permits.sendlimiter import SendLimiter
 from chivepier.gateway.permits.slidingwindowlimiter import CONNECT_SECONDS
@@ -21,7 +21,7 @@
     "Claim",
     "ColdBound",
     "MIN_SENDS_PER_SECOND",
-    "LeaderClient",
+    "PermitClient",
     "MAX_PERMIT_SECONDS",
     "MAX_WINDOW_SECONDS",
     "FallbackLimiter",
--- a/packages/gateway/src/chivepier/gateway/permits/claim.py
+++ b/packages/gateway/src/chivepier/gateway/permits/claim.py
@@ -9,9 +9,9 @@
 
     :param team: team that the request belongs to; empty if it has none
     :param urgency: urgency class of the request; the lowest goes first
-    :param patience: maximum seconds that the request can wait for its turn
+    :param max_wait: maximum seconds that the request can wait for its turn
     """
 
     team: str = ""
     urgency: int = 0
-    patience: float = 0.0
+    max_wait: float = 0.0
--- a/packages/gateway/src/chivepier/gateway/permits/fairscheduler.py
+++ b/packages/gateway/src/chivepier/gateway/permits/fairscheduler.py
@@ -34,12 +34,12 @@
     contains at most rate * interval + 1 of them. The most urgent class goes
     first; within a class, the team with the fewest recent turns goes first, so
     a team that claims ten times as often as another gets no more turns. A
-    claim may be granted a future turn within its ``patience``.
+    claim may be granted a future turn within its ``max_wait``.
 
     >>> scheduler = FairScheduler(random.Random(1))
     >>> scheduler.acquire("i1", 2.0, Claim(), 10.0, led_since=0.0)
     SendDecision(granted=True, wait=0.0, permit_seconds=0.0)
-    >>> scheduler.acquire("i1", 2.0, Claim(patience=0.5), 10.25, led_since=0.0)
+    >>> scheduler.acquire("i1", 2.0, Claim(max_wait=0.5), 10.25, led_since=0.0)
     SendDecision(granted=True, wait=0.25, permit_seconds=0.0)
 
     :param rng: random source that spreads the retries of many entries
@@ -73,7 +73,7 @@
             return self._refuse(
                 schedule, claim, due + RESERVATION_SECONDS, interval, now
             )
-        if due - now > claim.patience:
+        if due - now > claim.max_wait:
             return self._refuse(schedule, claim, due, interval, now)
         # time lost on a reservation does not delay the turns after it
         kept = RESERVATION_SECONDS if schedule.refusals else 0.0
--- a/packages/gateway/src/chivepier/gateway/permits/fallbacklimiter.py
+++ b/packages/gateway/src/chivepier/gateway/permits/fallbacklimiter.py
@@ -16,7 +16,7 @@
 
     >>> limiter = FallbackLimiter(random.Random(1))
     >>> limiter.reset(4)
-    >>> limiter.acquire("i1", 2.0, Claim(patience=2.0), 0.0).granted
+    >>> limiter.acquire("i1", 2.0, Claim(max_wait=2.0), 0.0).granted
     True
     >>> limiter.acquire("i1", 2.0, Claim(), 0.1).granted
     False
@@ -55,7 +55,7 @@
             due = self._due_at[instance] = now + self._rng.uniform(
                 0.0, interval
             )
-        if due - now > claim.patience:
+        if due - now > claim.max_wait:
             return SendDecision(False, due - now)
         self._due_at[instance] = max(due, now) + interval
         return SendDecision(True, max(0.0, due - now))
--- a/packages/gateway/src/chivepier/gateway/permits/leaderclient.py
+++ b/packages/gateway/src/chivepier/gateway/permits/permitclient.py
@@ -31,7 +31,7 @@
 ]
 
 
-class LeaderClient:
+class PermitClient:
     """Requests permits and keeps late ones for the next requests.
 
     If the leader, the network or this entry is slow, every permit could expire
--- a/packages/gateway/src/chivepier/gateway/permits/sendlimiter.py
+++ b/packages/gateway/src/chivepier/gateway/permits/sendlimiter.py
@@ -11,10 +11,10 @@
 from chivepier.gateway.permits.claim import Claim
 from chivepier.gateway.permits.coldbound import ColdBound
 from chivepier.gateway.permits.fallbacklimiter import FallbackLimiter
-from chivepier.gateway.permits.leaderclient import Ask
-from chivepier.gateway.permits.leaderclient import LeaderClient
 from chivepier.gateway.permits.permit import Permit
 from chivepier.gateway.permits.permit import PERMIT_SECONDS
+from chivepier.gateway.permits.permitclient import Ask
+from chivepier.gateway.permits.permitclient import PermitClient
 from chivepier.gateway.permits.refusalbackoffs import make_key
 from chivepier.gateway.permits.refusalbackoffs import RefusalBackoffs
 from chivepier.gateway.permits.senddecision import SendDecision
@@ -79,7 +79,7 @@
         self._zones = zones
         self._limits = limits
         self._bound = bound
-        self._leader = LeaderClient(ask, clock)
+        self._leader = PermitClient(ask, clock)
         self._fallback = own
         self._count_entries = count_entries
         self._clock = clock
@@ -204,7 +204,7 @@
             claim.team,
             claim.urgency,
             # permits for a cold target must be used at once
-            0.0 if cold else claim.patience,
+            0.0 if cold else claim.max_wait,
         )
         key = make_key(target, claim)
         pending, answer = await self._leader.ask(key, request)
--- a/packages/gateway/src/chivepier/gateway/permits/tests/test_fairscheduler.py
+++ b/packages/gateway/src/chivepier/gateway/permits/tests/test_fairscheduler.py
@@ -69,8 +69,8 @@
 
 def test_patient_claims_do_not_take_all_future_turns():
     callers = Callers(2.0)
-    patient = [(0.05, Claim("a", 1, patience=1.0))]
-    callers.play(60.0, [*patient, (0.25, Claim("b", 0, patience=0.06))])
+    patient = [(0.05, Claim("a", 1, max_wait=1.0))]
+    callers.play(60.0, [*patient, (0.25, Claim("b", 0, max_wait=0.06))])
     assert callers.served[(0, "b")] >= 50
 
 
@@ -84,7 +84,7 @@
     assert scheduler.acquire("i1", 1.0, Claim("a"), late, LED_SINCE).granted
     # the next turn is due as if the last one had been taken on time
     turn = scheduler.acquire(
-        "i1", 1.0, Claim("b", patience=1.0), late, LED_SINCE
+        "i1", 1.0, Claim("b", max_wait=1.0), late, LED_SINCE
     )
     assert turn.granted and late + turn.wait <= 2.02
 
--- a/packages/gateway/src/chivepier/gateway/permits/tests/test_fallbacklimiter.py
+++ b/packages/gateway/src/chivepier/gateway/permits/tests/test_fallbacklimiter.py
@@ -50,6 +50,6 @@
 def test_claim_waits_for_its_turn():
     limiter = FallbackLimiter(random.Random(1))
     limiter.reset(2)
-    first = limiter.acquire("i1", 1.0, Claim(patience=2.0), 0.0)
-    second = limiter.acquire("i1", 1.0, Claim(patience=9.0), 0.0)
+    first = limiter.acquire("i1", 1.0, Claim(max_wait=2.0), 0.0)
+    second = limiter.acquire("i1", 1.0, Claim(max_wait=9.0), 0.0)
     assert second.wait - first.wait == pytest.approx(2.0)
--- a/packages/gateway/src/chivepier/gateway/permits/tests/test_leaderclient.py
+++ b/packages/gateway/src/chivepier/gateway/permits/tests/test_permitclient.py
@@ -6,9 +6,9 @@
 
 from chivepier.gateway.messages import PermitAnswer
 from chivepier.gateway.messages import PermitRequest
-from chivepier.gateway.permits import LeaderClient
 from chivepier.gateway.permits import MAX_PERMIT_SECONDS
 from chivepier.gateway.permits import PERMIT_SECONDS
+from chivepier.gateway.permits import PermitClient
 from chivepier.gateway.permits import SlidingWindowLimiter
 from chivepier.standins.loopclock import LoopClock
 from chivepier.standins.playedloop import play_time
@@ -25,7 +25,7 @@
         self.clock = LoopClock()
         self.seconds = seconds
         self.limiter = SlidingWindowLimiter()
-        self.leader = LeaderClient(self._answer, self.clock)
+        self.leader = PermitClient(self._answer, self.clock)
         self.permit_lifetimes: list[float] = []
         self.sent: list[float] = []
 
