--- /dev/null
+++ b/packages/gateway/src/chivepier/gateway/targets/loadbalancer.py
@@ -0,0 +1,401 @@
+"""Choice of a target by load."""
+
+import collections.abc
+import random
+
+from chivepier.gateway.config import Engine
+from chivepier.gateway.limits import BackoffTable
+from chivepier.gateway.limits import LimitTable
+from chivepier.gateway.targets.demand import Demand
+from chivepier.gateway.targets.load import Load
+from chivepier.gateway.targets.loadtracker import LoadTracker
+from chivepier.gateway.targets.prefillestimator import PrefillEstimator
+from chivepier.gateway.targets.target import Target
+from chivepier.gateway.targets.targethealth import TargetHealth
+from chivepier.gateway.targets.targettable import TargetTable
+from chivepier.types import Clock
+
+# Targets whose costs differ by less than this from the lowest are equivalent
+# and chosen at random: many entries see the same loads and would all choose
+# the same target.
+TIE_MARGIN = 0.04
+# Number of random candidates per generation, of which the best is chosen. A
+# target that just started would otherwise get all requests until its load is
+# known.
+SAMPLE_SIZE = 3
+# Weight of a prompt token that is still to be read, relative to a token in
+# memory. By memory alone, a target that just started would get every prompt.
+PREFILL_WEIGHT = 3.0
+# Added cost of a target that is warming up; 1 is the cost of a full target.
+WARMING_COST = 0.2
+# Added cost of a destination in another availability zone, per second of
+# copies that are still to be made from the source.
+OTHER_ZONE_COST_PER_SECOND = 0.4
+# Added cost per copy that a destination already receives, as copies share its
+# link.
+RECEIVING_COST = 0.5
+# Added cost of a rate-limited destination: it is the last choice, as the
+# generation would have to wait for its turn.
+RATE_LIMITED_COST = 10.0
+# Maximum share of a target's memory that generations may use, including the
+# tokens that they add within the next seconds.
+MAX_MEMORY_SHARE = 1.0
+# Maximum share of the time objective for reading a prompt and those before it.
+# A request that waits at its entry can still go to another target.
+MAX_PREFILL_SHARE = 0.5
+# Number of entries that must avoid a target before all entries avoid it; fewer
+# may have lost their own connection.
+MIN_AVOIDING_ENTRIES = 3
+
+
+class LoadBalancer:
+    """Chooses the target with the most free capacity over all entries.
+
+    ``prefill_estimator`` learns from first events how fast prompts are read;
+    the queue of waiting requests uses it too.
+
+    :param table: known targets
+    :param health: health of the targets
+    :param board: load of the targets
+    :param zone: availability zone of this node
+    :param clock: source of monotonic time
+    :param rng: random source for the choice among equivalent targets
+    :param limits: rate limits that targets announced; none by default
+    :param rests: targets that asked for no requests for a while; none by
+        default
+    """
+
+    def __init__(
+        self,
+        table: TargetTable,
+        health: TargetHealth,
+        board: LoadTracker,
+        zone: str,
+        clock: Clock,
+        rng: random.Random,
+        limits: LimitTable | None = None,
+        rests: BackoffTable | None = None,
+    ):
+        self._rests = BackoffTable(rng) if rests is None else rests
+        self._limits = LimitTable() if limits is None else limits
+        self._table = table
+        self._health = health
+        self._loads = board
+        self._zone = zone
+        self._clock = clock
+        self._rng = rng
+        self.prefill_estimator = PrefillEstimator()
+        self._in_flight: dict[str, int] = {}
+
+    def avoid_unreachable(self, instance: str) -> None:
+        """Avoid an unreachable or silent target for a while.
+
+        :param instance: name of the target; the other entries are told
+        """
+        now = self._clock.monotonic()
+        self._loads.avoid(
+            instance, self._health.record_unreachable(instance, now)
+        )
+
+    def record_start(self, instance: str) -> None:
+        """Count a request that this entry sent to a target."""
+        self._in_flight[instance] = self._in_flight.get(instance, 0) + 1
+
+    def record_end(self, instance: str) -> None:
+        """Count the end of a request at a target."""
+        left = self._in_flight.get(instance, 0) - 1
+        if left > 0:
+            self._in_flight[instance] = left
+        else:
+            self._in_flight.pop(instance, None)
+
+    def is_zone_open(self, target: Target) -> bool:
+        """Tell whether a target's zone is not evacuated."""
+        now = self._clock.monotonic()
+        return not self._table.zones.is_evacuated(target.zone, now)
+
+    def choose(
+        self,
+        service: str,
+        engine: Engine | None,
+        demand: Demand | None,
+        without: collections.abc.Collection[str] = (),
+        regions: collections.abc.Collection[str] | None = None,
+    ) -> Target | None:
+        """Choose a target.
+
+        :param service: name of the service
+        :param engine: engine settings if the targets run generations
+        :param demand: size of the generation, if one is to be started
+        :param without: names of instances to exclude
+        :param regions: regions that the request may reach; ``None`` for all
+        :returns: the target; ``None`` if there is no candidate
+        """
+        ranked = self.rank(service, engine, demand, without, regions=regions)
+        return ranked[0] if ranked else None
+
+    def rank(
+        self,
+        service: str,
+        engine: Engine | None,
+        demand: Demand | None,
+        without: collections.abc.Collection[str] = (),
+        roomy: bool = False,
+        regions: collections.abc.Collection[str] | None = None,
+    ) -> list[Target]:
+        """Return the targets, the best first; see :meth:`choose`.
+
+        :param roomy: whether full targets are excluded
+        :param regions: regions that the request may reach; ``None`` for all
+        """
+        now = self._clock.monotonic()
+        healthy = self._select_healthy(service, without, now, regions)
+        costs = {
+            t.instance: self._get_cost(t, engine, demand, now)
+            for t in healthy
+            if not roomy or self.has_room(t, engine, demand)
+        }
+        if not costs:
+            return []
+        order = self._draw_order(costs, sample=engine is not None)
+        chosen = [t for t in healthy if t.instance in order]
+        return sorted(chosen, key=lambda t: order[t.instance])
+
+    def _select_healthy(
+        self,
+        service: str,
+        without: collections.abc.Collection[str],
+        now: float,
+        regions: collections.abc.Collection[str] | None,
+    ) -> list[Target]:
+        found = self._select_not_resting(service, now, regions)
+        candidates = [t for t in found if t.instance not in without]
+        if not candidates:
+            return []
+        healthy = self._health.select_healthy(
+            [t.instance for t in candidates], now
+        )
+        return self._exclude_avoided(
+            [t for t in candidates if t.instance in healthy], now
+        )
+
+    def _select_not_resting(
+        self,
+        service: str,
+        now: float,
+        regions: collections.abc.Collection[str] | None,
+    ) -> list[Target]:
+        """Return the targets that did not ask for a pause."""
+        found = self._table.select(service, now, regions)
+        if not self._rests:
+            return found
+        return [t for t in found if self._find_rest(t, now) is None]
+
+    def _find_rest(self, target: Target, now: float) -> float | None:
+        return self._rests.find_delay(target.instance, target.born, now)
+
+    def select(
+        self,
+        service: str,
+        regions: collections.abc.Collection[str] | None = None,
+    ) -> list[Target]:
+        """Return the targets that accept requests, including avoided ones.
+
+        :param service: name of the service
+        :param regions: regions that the request may reach; ``None`` for all
+        """
+        return self._select_not_resting(
+            service, self._clock.monotonic(), regions
+        )
+
+    def find_shortest_rest(
+        self,
+        service: str,
+        regions: collections.abc.Collection[str] | None = None,
+    ) -> float | None:
+        """Return the seconds until a target accepts requests again.
+
+        :param service: name of the service
+        :param regions: regions that the request may reach; ``None`` for all
+        :returns: ``None`` if any target accepts requests now, or if none is
+            known
+        """
+        if not self._rests:
+            return None
+        now = self._clock.monotonic()
+        found = self._table.select(service, now, regions)
+        pauses = [self._find_rest(target, now) for target in found]
+        if not pauses or None in pauses:
+            return None
+        return min(pauses)
+
+    def _exclude_avoided(self, targets: list[Target], now: float) -> list:
+        """Exclude targets that several entries avoid.
+
+        Entries that are cut off avoid all targets, so the counts are compared
+        with that of the least avoided target.
+        """
+        counts = [self._loads.count_avoiding(t.instance, now) for t in targets]
+        most = min(counts) + MIN_AVOIDING_ENTRIES
+        return [t for t, count in zip(targets, counts) if count < most]
+
+    def choose_destination(
+        self,
+        service: str,
+        engine: Engine,
+        tokens: int,
+        source: Target,
+        without: collections.abc.Collection[str] = (),
+        regions: collections.abc.Collection[str] | None = None,
+    ) -> Target | None:
+        """Choose the target that a generation's memory is copied to.
+
+        Only free memory counts. There is no prompt to read, so a target that
+        just started is the best choice, whatever prompts it reads.
+
+        :param service: name of the service
+        :param engine: engine settings of the targets
+        :param tokens: size of the copy, in tokens
+        :param source: current target; its availability zone is preferred
+        :param without: names of instances to exclude
+        :param regions: regions that the generation may reach; ``None`` for
+            all
+        :returns: the target; ``None`` if none has enough memory
+        """
+        now = self._clock.monotonic()
+        far_cost = (
+            OTHER_ZONE_COST_PER_SECOND
+            * self._loads.get_pending_copy_seconds(source.instance, now)
+        )
+        costs = {}
+        for target in self._select_healthy(service, without, now, regions):
+            load = self._loads.get_total(target.instance, now)
+            held = (load.tokens + tokens) / engine.memory_tokens
+            if held <= MAX_MEMORY_SHARE:
+                far = 0.0 if target.zone == source.zone else far_cost
+                costs[target.instance] = (
+                    held
+                    + far
+                    + RECEIVING_COST * load.receiving
+                    + self._get_rate_limit_cost(target)
+                )
+        if not costs:
+            return None
+        order = self._draw_order(costs, sample=False)
+        return self._table.get(min(costs, key=lambda name: order[name]))
+
+    def _get_rate_limit_cost(self, target: Target) -> float:
+        rate = self._limits.find_rate(target.instance, target.born)
+        return 0.0 if rate is None else RATE_LIMITED_COST
+
+    def _draw_order(
+        self, costs: dict[str, float], sample: bool
+    ) -> dict[str, tuple[bool, float]]:
+        """Return the sort key of each target."""
+        least = min(costs.values())
+        names = list(costs)
+        first = set(names)
+        if sample and len(names) > SAMPLE_SIZE:
+            first = set(self._rng.sample(names, SAMPLE_SIZE))
+        return {
+            name: (
+                name not in first,
+                (
+                    self._rng.random()
+                    if cost <= least + TIE_MARGIN
+                    else 1.0 + cost
+                ),
+            )
+            for name, cost in costs.items()
+        }
+
+    def _get_cost(
+        self,
+        target: Target,
+        engine: Engine | None,
+        demand: Demand | None,
+        now: float,
+    ) -> float:
+        if engine is None or demand is None:
+            return self._get_request_cost(target, now)
+        return self._get_generation_cost(target, engine, demand, now)
+
+    def has_room(self, target: Target, engine: Engine, demand: Demand) -> bool:
+        """Tell whether a target has memory and time for one more generation.
+
+        Includes the growth of running generations within the next seconds. A
+        target that runs out of memory preempts the newest generation and later
+        reads it again.
+        """
+        now = self._clock.monotonic()
+        load = self._loads.get_total(target.instance, now)
+        if (
+            load.tokens + demand.near_term_tokens
+            > MAX_MEMORY_SHARE * engine.memory_tokens
+        ):
+            return False
+        if not load.reading:
+            return True
+        seconds = self.prefill_estimator.estimate(
+            target.service, load.reading + demand.prompt
+        )
+        return seconds <= MAX_PREFILL_SHARE * demand.objective
+
+    def find_load(self, instance: str) -> Load:
+        """Return the load of a target over all entries."""
+        return self._loads.get_total(instance, self._clock.monotonic())
+
+    def count_free_places(
+        self,
+        service: str,
+        engine: Engine,
+        demand: Demand,
+        regions: collections.abc.Collection[str] | None = None,
+    ) -> int:
+        """Count how many more generations of a size fit into memory.
+
+        :param service: name of the service
+        :param engine: engine settings of the targets
+        :param demand: size of each generation
+        :param regions: regions that they may reach; ``None`` for all
+        """
+        now = self._clock.monotonic()
+        places = 0
+        for target in self._select_not_resting(service, now, regions):
+            tokens = self._loads.get_total(target.instance, now).tokens
+            spare = max(0.0, MAX_MEMORY_SHARE * engine.memory_tokens - tokens)
+            places += int(spare // max(1, demand.near_term_tokens))
+        return places
+
+    def count_leaving(self, service: str) -> int:
+        """Count the generations whose target leaves.
+
+        :param service: name of the service
+        """
+        now = self._clock.monotonic()
+        return sum(
+            self._loads.get_total(target.instance, now).runs
+            for target in self._table.select_leaving(service)
+        )
+
+    def _get_request_cost(self, target: Target, now: float) -> float:
+        busy = self._in_flight.get(target.instance, 0) / max(1, target.slots)
+        cost = busy + self._health.get_latency_ratio(target.instance, now)
+        if now < target.warm_at:
+            cost += WARMING_COST
+        return cost
+
+    def _get_generation_cost(
+        self, target: Target, engine: Engine, demand: Demand, now: float
+    ) -> float:
+        load = self._loads.get_total(target.instance, now)
+        tokens = (
+            load.tokens
+            + demand.near_term_tokens
+            + PREFILL_WEIGHT * load.reading
+        )
+        memory = tokens / engine.memory_tokens
+        cost = max(memory, (load.runs + 1) / engine.slots)
+        if now < target.warm_at:
+            cost += WARMING_COST
+        return cost
