--- a/packages/gateway/src/chivepier/gateway/control/tests/fleet.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/fleet.py
@@ -174,7 +174,7 @@
         """Take repeats until one of them was lent."""
         now = tell_time()
         self.budget.take(service, now, 1000)
-        return any(record.used for record in self.budget.own(now))
+        return any(record.used for record in self.budget.list_loans(now))
 
     def end_under(self, digest: str, instance: str) -> None:
         """Let a target end under a request that this entry sent there."""
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_followers.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_followers.py
@@ -218,7 +218,7 @@
         await wait_until(lambda: one.hub == fleet.seeds[0])
         await wait_until(lambda: two.hub == fleet.seeds[1])
         await wait_until(lambda: one.borrow("s"))
-        await wait_until(lambda: sum(two.budget._others.values()) == 1)
+        await wait_until(lambda: sum(two.budget._peer_loans.values()) == 1)
 
     play(test, tmp_path)
 
--- a/packages/gateway/src/chivepier/gateway/entry/entry.py
+++ b/packages/gateway/src/chivepier/gateway/entry/entry.py
@@ -21,16 +21,16 @@
 from chivepier.gateway.permits import OwnPart
 from chivepier.gateway.permits import Permits
 from chivepier.gateway.quarantine import Quarantine
-from chivepier.gateway.serving import BodyRoom
+from chivepier.gateway.serving import BodyMemory
 from chivepier.gateway.serving import Dispatcher
 from chivepier.gateway.serving import Guard
 from chivepier.gateway.serving import Mover
 from chivepier.gateway.serving import Planner
 from chivepier.gateway.serving import Remarks
+from chivepier.gateway.serving import RequestHandler
+from chivepier.gateway.serving import RetryAfterScheduler
 from chivepier.gateway.serving import RetryBudget
-from chivepier.gateway.serving import Returns
 from chivepier.gateway.serving import SendGate
-from chivepier.gateway.serving import Serving
 from chivepier.gateway.serving import ServingState
 from chivepier.gateway.serving import TargetCalls
 from chivepier.gateway.serving import TargetPort
@@ -87,7 +87,7 @@
         self._log = log
         self._stack = contextlib.AsyncExitStack()
         self.metrics = Metrics()
-        self.bodies = BodyRoom(settings.body_bytes)
+        self.bodies = BodyMemory(settings.body_bytes)
         self.state = ServingState()
         self.peers = Peers(settings.seeds)
         self.zones = Zones(settings.regions)
@@ -161,9 +161,12 @@
             log,
             self.metrics,
         )
-        self.table.watchers += [self.mover.note_target, self._note_target]
+        self.table.watchers += [
+            self.mover.handle_state_change,
+            self._note_target,
+        ]
         self.table.restart_watchers.append(self._note_restart)
-        self.quarantine.watchers.append(self.mover.note_held)
+        self.quarantine.watchers.append(self.mover.cancel_held_back)
         self._port = port
         self._links = Links(
             settings.name,
@@ -209,11 +212,11 @@
             budget=budget,
             guard=guard,
             gate=gate,
-            returns=Returns(rng),
+            returns=RetryAfterScheduler(rng),
             clock=clock,
             log=log,
         )
-        self.serving = Serving(
+        self.serving = RequestHandler(
             self.state, Planner(self.state, rng), dispatcher, self.metrics
         )
 
@@ -224,7 +227,7 @@
         self._stack.push_async_callback(self.quarantine.judge.close)
         loading = asyncio.create_task(self.metrics.load_later())
         self._stack.callback(loading.cancel)
-        watching = asyncio.create_task(self.mover.watch_silence())
+        watching = asyncio.create_task(self.mover.watch_silent_targets())
         self._stack.callback(watching.cancel)
         self._log.info("entry_started", address=self._settings.address)
         return self
@@ -274,7 +277,7 @@
         self._log.info(
             "target_restarted", target=target.instance, born=target.born
         )
-        self.mover.note_restart(target)
+        self.mover.cancel_restarted(target)
         self._forget(target)
         self.rests.end_life(target.instance, target.born, target.heard)
         # what a kept connection leads to has ended: a request that may run
--- a/packages/gateway/src/chivepier/gateway/following/loadexchange.py
+++ b/packages/gateway/src/chivepier/gateway/following/loadexchange.py
@@ -60,7 +60,7 @@
             self._board.put(record, now)
         for queue in notice.queues:
             self._queues.put(queue, now)
-        self._budget.take_told(notice.repeats, notice.whole, now)
+        self._budget.update_peer_loans(notice.repeats, notice.whole, now)
 
     def tell_anew(self) -> None:
         """Tell everything again: another voter is followed now."""
@@ -123,7 +123,7 @@
         self, again: bool, now: float
     ) -> tuple[RepeatRecord, ...]:
         records = []
-        for record in self._budget.own(now):
+        for record in self._budget.list_loans(now):
             told = self._told_repeats.get(record.service, 0)
             # loans are few: none is told until the first
             if told != record.used or again and record.used:
--- a/packages/gateway/src/chivepier/gateway/serving/place.py
+++ b/packages/gateway/src/chivepier/gateway/serving/assignment.py
@@ -7,7 +7,7 @@
 
 
 @attrs.frozen
-class Place:
+class Assignment:
     """A target, with room there where that can be reserved.
 
     :param target: the target
--- a/packages/gateway/src/chivepier/gateway/serving/bodyshare.py
+++ b/packages/gateway/src/chivepier/gateway/serving/bodyallocation.py
@@ -6,21 +6,21 @@
 
 
 @attrs.define
-class BodyShare:
+class BodyAllocation:
     """What one body takes so far of the room that all share.
 
-    :param grow: takes more of that room
-    :param taken: bytes
+    :param reserve: takes more of that room
+    :param used_bytes: bytes
     """
 
-    grow: collections.abc.Callable[[int], None]
-    taken: int = 0
+    reserve: collections.abc.Callable[[int], None]
+    used_bytes: int = 0
 
-    def take(self, count: int) -> None:
+    def extend(self, count: int) -> None:
         """Take room for bytes that have come.
 
         :param count: of them
         :raises RequestError: when there is none; nothing has run
         """
-        self.grow(count)
-        self.taken += count
+        self.reserve(count)
+        self.used_bytes += count
--- a/packages/gateway/src/chivepier/gateway/serving/bodyroom.py
+++ b/packages/gateway/src/chivepier/gateway/serving/bodymemory.py
@@ -5,13 +5,13 @@
 
 import attrs
 
-from chivepier.gateway.serving.bodyshare import BodyShare
+from chivepier.gateway.serving.bodyallocation import BodyAllocation
 from chivepier.types import ErrorKind
 from chivepier.types import RequestError
 
 
 @attrs.define
-class BodyRoom:
+class BodyMemory:
     """Bounds the bodies that are kept at the same time.
 
     A body is kept until its request has ended, as it may have to be sent
@@ -20,32 +20,32 @@
     instance, and end that one. What finds no room is refused, true as to
     having run nowhere.
 
-    >>> room = BodyRoom(10)
-    >>> with room.open() as share:
-    ...     share.take(8)
-    ...     room.taken
+    >>> memory = BodyMemory(10)
+    >>> with memory.allocate() as body:
+    ...     body.extend(8)
+    ...     memory.used_bytes
     8
-    >>> room.taken
+    >>> memory.used_bytes
     0
 
-    :param most: bytes of all bodies together
-    :param taken: bytes that are kept now
+    :param max_bytes: bytes of all bodies together
+    :param used_bytes: bytes that are kept now
     """
 
-    most: int
-    taken: int = 0
+    max_bytes: int
+    used_bytes: int = 0
 
     @contextlib.contextmanager
-    def open(self) -> collections.abc.Iterator[BodyShare]:
+    def allocate(self) -> collections.abc.Iterator[BodyAllocation]:
         """Give a request a share, until it has ended."""
-        share = BodyShare(self._grow)
+        allocation = BodyAllocation(self._reserve)
         try:
-            yield share
+            yield allocation
         finally:
-            self.taken -= share.taken
+            self.used_bytes -= allocation.used_bytes
 
-    def _grow(self, count: int) -> None:
-        if self.taken + count > self.most:
+    def _reserve(self, count: int) -> None:
+        if self.used_bytes + count > self.max_bytes:
             text = "too many bodies are being sent to this instance"
             raise RequestError.of(ErrorKind.OVERLOADED, text)
-        self.taken += count
+        self.used_bytes += count
--- a/packages/gateway/src/chivepier/gateway/serving/copyturns.py
+++ b/packages/gateway/src/chivepier/gateway/serving/copyturns.py
@@ -10,13 +10,13 @@
 from chivepier.types import Clock
 
 # Seconds until entries know of each other what they have to copy.
-EXCHANGE_SECONDS = 0.08
+PEER_UPDATE_SECONDS = 0.08
 # Seconds between two looks whether the other entries have copied: news of
 # them take as long.
-LOOK_SECONDS = 0.03
+POLL_INTERVAL_SECONDS = 0.03
 # Seconds to wait for other entries' copies at most: a target that leaves
 # gives a notice of about two seconds, and an entry may be frozen.
-MOST_SECONDS = 1.2
+MAX_WAIT_SECONDS = 1.2
 
 
 class CopyTurns:
@@ -33,43 +33,43 @@
     def __init__(self, board: LoadBoard, clock: Clock):
         self._board = board
         self._clock = clock
-        self._due: dict[str, set[LiveRun]] = {}
-        self._told: dict[str, float] = {}
+        self._pending: dict[str, set[LiveRun]] = {}
+        self._published_at: dict[str, float] = {}
         self._locks: dict[str, asyncio.Lock] = {}
 
-    def expect(self, source: str, runs: set[LiveRun]) -> None:
+    def announce(self, source: str, runs: set[LiveRun]) -> None:
         """Tell the other entries what this one has to copy.
 
         :param source: the target that leaves
         :param runs: its generations here
         """
-        due = self._due.setdefault(source, set())
+        due = self._pending.setdefault(source, set())
         if runs <= due:
             return
         due |= runs
-        self._told[source] = self._clock.monotonic()
-        self._tell(source)
+        self._published_at[source] = self._clock.monotonic()
+        self._publish(source)
 
-    def skip(self, source: str, run: LiveRun) -> None:
+    def withdraw(self, source: str, run: LiveRun) -> None:
         """Let the others go first: there is no place for it yet."""
-        due = self._due.get(source, set())
+        due = self._pending.get(source, set())
         if run in due:
             due.discard(run)
-            self._tell(source)
+            self._publish(source)
 
     @property
     def sources(self) -> set[str]:
         """The targets of which anything is known."""
-        return {*self._due, *self._told, *self._locks}
+        return {*self._pending, *self._published_at, *self._locks}
 
     def forget(self, source: str) -> None:
         """Drop what is known of a target without generations."""
-        for known in (self._due, self._told, self._locks):
+        for known in (self._pending, self._published_at, self._locks):
             known.pop(source, None)
         self._board.take_turn(source, 0)
 
-    def _tell(self, source: str) -> None:
-        seconds = sum(run.copy_seconds() for run in self._due[source])
+    def _publish(self, source: str) -> None:
+        seconds = sum(run.copy_seconds() for run in self._pending[source])
         self._board.take_turn(source, milliseconds(seconds))
 
     @contextlib.asynccontextmanager
@@ -78,23 +78,23 @@
     ) -> collections.abc.AsyncIterator[None]:
         """Hold the turn of one generation."""
         async with self._locks.setdefault(source, asyncio.Lock()):
-            self.expect(source, {run})
-            await self._wait(source, run)
+            self.announce(source, {run})
+            await self._wait_for_turn(source, run)
             self._board.note_copying(source, True)
             try:
                 yield
             finally:
                 self._board.note_copying(source, False)
-                self.skip(source, run)
+                self.withdraw(source, run)
 
-    async def _wait(self, source: str, run: LiveRun) -> None:
-        known = self._told[source] + EXCHANGE_SECONDS
+    async def _wait_for_turn(self, source: str, run: LiveRun) -> None:
+        known = self._published_at[source] + PEER_UPDATE_SECONDS
         await run.await_loss(max(0.0, known - self._clock.monotonic()))
         began = self._clock.monotonic()
         before = self._board.before(source, began)
-        end = began + min(before / 1000, MOST_SECONDS)
+        end = began + min(before / 1000, MAX_WAIT_SECONDS)
         while before and self._clock.monotonic() < end:
-            await run.await_loss(LOOK_SECONDS)
+            await run.await_loss(POLL_INTERVAL_SECONDS)
             if run.lost.is_set():
                 return
             before = self._board.before(source, self._clock.monotonic())
--- a/packages/gateway/src/chivepier/gateway/serving/dispatcher.py
+++ b/packages/gateway/src/chivepier/gateway/serving/dispatcher.py
@@ -4,6 +4,7 @@
 
 from chivepier.gateway.eventlog import EventLog
 from chivepier.gateway.quarantine import shorten
+from chivepier.gateway.serving.assignment import Assignment
 from chivepier.gateway.serving.errand import Errand
 from chivepier.gateway.serving.errors import AllAtRestError
 from chivepier.gateway.serving.errors import AnswerCutError
@@ -15,19 +16,18 @@
 from chivepier.gateway.serving.guard import Guard
 from chivepier.gateway.serving.liverun import LiveRun
 from chivepier.gateway.serving.mover import Mover
-from chivepier.gateway.serving.place import Place
-from chivepier.gateway.serving.placing import Placing
 from chivepier.gateway.serving.plan import Plan
-from chivepier.gateway.serving.refusals import Refusals
+from chivepier.gateway.serving.rejectionpolicy import RejectionPolicy
 from chivepier.gateway.serving.remarks import describe_rest
+from chivepier.gateway.serving.retryafterscheduler import RetryAfterScheduler
 from chivepier.gateway.serving.retrybudget import RetryBudget
-from chivepier.gateway.serving.returns import Returns
 from chivepier.gateway.serving.runwatch import RunWatch
 from chivepier.gateway.serving.sendgate import SendGate
 from chivepier.gateway.serving.sendorder import SendOrder
 from chivepier.gateway.serving.sent import Sent
 from chivepier.gateway.serving.servingstate import ServingState
 from chivepier.gateway.serving.targetanswer import TargetAnswer
+from chivepier.gateway.serving.targetassigner import TargetAssigner
 from chivepier.gateway.serving.targetcalls import TargetCalls
 from chivepier.gateway.targets import Chooser
 from chivepier.gateway.targets import LoadBoard
@@ -80,7 +80,7 @@
         budget: RetryBudget,
         guard: Guard,
         gate: SendGate,
-        returns: Returns,
+        returns: RetryAfterScheduler,
         clock: Clock,
         log: EventLog,
     ):
@@ -96,8 +96,8 @@
         self.clock = clock
         self.log = log
         self.runs = RunWatch(board, mover, chooser.pace, clock)
-        self._refusals = Refusals(table, clock, returns, log)
-        self._placing = Placing(
+        self._refusals = RejectionPolicy(table, clock, returns, log)
+        self._placing = TargetAssigner(
             chooser, health, queues, calls, guard, gate, clock, log
         )
 
@@ -113,7 +113,7 @@
         runs = rounds = 0
         paid = True
         while True:
-            self._refusals.check_time(plan, runs)
+            self._refusals.check_deadline(plan, runs)
             self.guard.check(plan, runs)
             await self.gate.settle()
             place = await self._find_place(plan, tried, runs)
@@ -126,7 +126,9 @@
                 await self.clock.sleep(REFUSED_PAUSE * rounds)
                 continue
             if not paid and not self.take_repeat(plan):
-                raise self._refusals.give_up(plan, runs, "no repeats are left")
+                raise self._refusals.make_error(
+                    plan, runs, "no repeats are left"
+                )
             paid = False
             self._note_place(plan, place)
             target = place.target
@@ -143,7 +145,7 @@
                 runs += 1
                 if not more:
                     self.guard.check(plan, runs)
-                    raise self._refusals.explain_loss(error) from None
+                    raise self._refusals.make_lost_error(error) from None
                 await self.guard.settle(plan, target)
                 continue
             if self._refused(plan, target, sent.answer):
@@ -164,18 +166,18 @@
 
     async def _find_place(
         self, plan: Plan, tried: set[str], runs: int
-    ) -> Place | None:
+    ) -> Assignment | None:
         try:
-            return await self._placing.find(plan, tried)
+            return await self._placing.find_assignment(plan, tried)
         except NoRoomError:
             text = "no target has room"
-            raise self._refusals.give_up(plan, runs, text) from None
+            raise self._refusals.make_error(plan, runs, text) from None
         except OverLimitError as error:
-            raise self._refusals.give_up_over_limit(
+            raise self._refusals.make_over_limit_error(
                 plan, runs, error.rate, self.state.entries
             ) from None
         except AllAtRestError as error:
-            raise self._refusals.give_up_at_rest(
+            raise self._refusals.make_backoff_error(
                 plan, runs, error.seconds
             ) from None
 
@@ -192,7 +194,7 @@
             error=repr(error),
         )
 
-    def _note_place(self, plan: Plan, place: Place) -> None:
+    def _note_place(self, plan: Plan, place: Assignment) -> None:
         target, demand = place.target, plan.demand
         load = self.chooser.find_load(target.instance)
         now = self.clock.monotonic()
@@ -226,7 +228,7 @@
             sent.answer.close()
         self.chooser.end(sent.target.instance)
 
-    async def _try(self, plan: Plan, place: Place, more: bool) -> Sent:
+    async def _try(self, plan: Plan, place: Assignment, more: bool) -> Sent:
         target = place.target
         seconds = plan.deadline - self.clock.monotonic()
         if more:
@@ -286,7 +288,7 @@
             self.runs.give_up(run)
         return Sent(target, answer, b"".join(parts))
 
-    def _order(self, plan: Plan, place: Place) -> SendOrder:
+    def _order(self, plan: Plan, place: Assignment) -> SendOrder:
         return SendOrder(
             reservation=place.reservation,
             seconds=plan.deadline - self.clock.monotonic(),
--- a/packages/gateway/src/chivepier/gateway/serving/mover.py
+++ b/packages/gateway/src/chivepier/gateway/serving/mover.py
@@ -10,8 +10,8 @@
 from chivepier.gateway.serving.guard import Guard
 from chivepier.gateway.serving.handoff import Handoff
 from chivepier.gateway.serving.liverun import LiveRun
-from chivepier.gateway.serving.moved import Moved
 from chivepier.gateway.serving.moveoutcome import MoveOutcome
+from chivepier.gateway.serving.moveresult import MoveResult
 from chivepier.gateway.serving.origin import Origin
 from chivepier.gateway.serving.targetcalls import TargetCalls
 from chivepier.gateway.targets import Chooser
@@ -24,20 +24,20 @@
 
 # Destinations that are tried for one generation in a row: the most roomy ones
 # come first, and where three of them are full the others are.
-MOST_TRIES = 3
+MAX_DESTINATIONS = 3
 # Seconds to wait for one copy, which waits for those before it.
-COPY_SECONDS = 4.0
+COPY_TIMEOUT_SECONDS = 4.0
 # Seconds between two looks for room, or for the first event of a generation
 # that has not begun.
-LOOK_PAUSE = 0.1
+POLL_INTERVAL_SECONDS = 0.1
 # Seconds without a byte after which it is looked whether a target has ended;
 # longer than the pause of a preempted generation.
 STALLED_SECONDS = 3.0
 # Seconds without a byte after which a generation counts as lost where that
 # can't be seen: the target is dark, or cut off, as it may be for some seconds.
-GONE_SECONDS = 10.0
+UNREACHABLE_TIMEOUT_SECONDS = 10.0
 # Seconds between two looks for such targets.
-SILENCE_PAUSE = 0.5
+SILENCE_CHECK_INTERVAL_SECONDS = 0.5
 
 
 class Mover:
@@ -92,7 +92,9 @@
             self._runs.pop(run.target.instance, None)
             self._turns.forget(run.target.instance)
 
-    def note_target(self, target: Target, before: TargetState | None) -> None:
+    def handle_state_change(
+        self, target: Target, before: TargetState | None
+    ) -> None:
         """Move everything off a target that has begun to leave.
 
         :param target: as announced
@@ -103,11 +105,11 @@
         runs = list(self._runs.get(target.instance, ()))
         due = {run for run in runs if run.moves and run.began is not None}
         if due:
-            self._turns.expect(target.instance, due)
+            self._turns.announce(target.instance, due)
         for run in runs:
-            self.start(run)
+            self.start_move(run)
 
-    def note_restart(self, target: Target) -> None:
+    def cancel_restarted(self, target: Target) -> None:
         """Break off what ran at a target that has started again.
 
         :param target: as it was known before
@@ -115,13 +117,13 @@
         for run in list(self._runs.get(target.instance, ())):
             run.break_off()
 
-    async def watch_silence(self) -> None:
+    async def watch_silent_targets(self) -> None:
         """Look for targets that have gone, for as long as the node lives."""
         while True:
-            await self._clock.sleep(SILENCE_PAUSE)
-            await self.end_silent()
+            await self._clock.sleep(SILENCE_CHECK_INTERVAL_SECONDS)
+            await self.cancel_silent_runs()
 
-    async def end_silent(self) -> None:
+    async def cancel_silent_runs(self) -> None:
         """Break off what ran at targets that have gone without a word.
 
         Nothing ends the connection to a target that went dark: a caller whose
@@ -133,25 +135,25 @@
             stalled = {
                 run for run in runs if now - run.heard >= STALLED_SECONDS
             }
-            if not stalled or not await self._has_gone(stalled):
+            if not stalled or not await self._is_gone(stalled):
                 continue
             self._log.warn("target_gone", target=name, runs=len(stalled))
             for run in stalled:
                 run.break_off()
 
-    async def _has_gone(self, stalled: set[LiveRun]) -> bool:
+    async def _is_gone(self, stalled: set[LiveRun]) -> bool:
         """Tell whether the target of stalled generations has ended."""
         now = self._clock.monotonic()
         last = max(stalled, key=lambda run: run.heard)
         if not self._table.is_silent(last.target, now):
             return False
-        if now - last.heard >= GONE_SECONDS:
+        if now - last.heard >= UNREACHABLE_TIMEOUT_SECONDS:
             return True
         if not self._chooser.is_open(last.target):
             return False
         return await self._calls.probe(last.target) is Liveness.ENDED
 
-    def note_held(self, digest: str) -> None:
+    def cancel_held_back(self, digest: str) -> None:
         """Break off what has not begun of a request that is held back.
 
         Its copies are being read at other targets when the third one ends;
@@ -163,7 +165,7 @@
             if run.began is None and run.plan.digest == digest:
                 run.break_off()
 
-    def start(self, run: LiveRun) -> None:
+    def start_move(self, run: LiveRun) -> None:
         """Begin to move one generation, unless that is under way."""
         engine = run.service.engine
         if run.handoff is not None or engine is None or not engine.moves:
@@ -171,9 +173,9 @@
         if not run.moves or self._guard.holds(run.plan):
             return
         run.handoff = asyncio.get_running_loop().create_future()
-        self._keep(asyncio.create_task(self._move(run, run.handoff)))
+        self._track_task(asyncio.create_task(self._move(run, run.handoff)))
 
-    def _keep(self, task: asyncio.Task) -> None:
+    def _track_task(self, task: asyncio.Task) -> None:
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -191,7 +193,7 @@
         except Exception as error:
             self._log.warn("move_failed", id=run.request.id, error=repr(error))
         if found is not None and run.ended:
-            await self._drop(run, found)
+            await self._drop_copy(run, found)
         if not handoff.done():
             handoff.set_result(found)
         if source not in self._runs:
@@ -207,34 +209,36 @@
         """
         source = run.target.instance
         while not run.ended and run.target.instance == source:
-            if run.began is not None and self._pick(run, {source}):
+            if run.began is not None and self._choose_destination(
+                run, {source}
+            ):
                 async with self._turns.take(source, run):
-                    found = await self._copy_somewhere(run)
+                    found = await self._copy_to_any(run)
                 if found is not None:
                     return found
-            self._turns.skip(source, run)
-            await run.await_loss(LOOK_PAUSE)
+            self._turns.withdraw(source, run)
+            await run.await_loss(POLL_INTERVAL_SECONDS)
             if run.lost.is_set():
                 return None
         return None
 
-    async def _copy_somewhere(self, run: LiveRun) -> Handoff | None:
+    async def _copy_to_any(self, run: LiveRun) -> Handoff | None:
         source, tried = run.target, {run.target.instance}
-        for _ in range(MOST_TRIES):
-            target = self._pick(run, tried)
+        for _ in range(MAX_DESTINATIONS):
+            target = self._choose_destination(run, tried)
             if target is None or run.ended:
                 break
             tried.add(target.instance)
             # many runs look for a place at the same moment: without this
             # all would take the one that was the emptiest before
-            with self._book(run.counted, target):
+            with self._reserve_load(run.counted, target):
                 outcome, found = await self._copy_to(run, source, target)
             if found is not None or outcome is not MoveOutcome.NO_ROOM:
                 return found
         return None
 
     @contextlib.contextmanager
-    def _book(
+    def _reserve_load(
         self, tokens: int, target: Target
     ) -> collections.abc.Iterator[None]:
         name = target.instance
@@ -247,11 +251,11 @@
     async def _copy_to(
         self, run: LiveRun, source: Target, target: Target
     ) -> tuple[MoveOutcome, Handoff | None]:
-        moved = await self._copy(run, source, target, last=False)
+        moved = await self._request_copy(run, source, target, last=False)
         if moved.outcome is not MoveOutcome.COPIED:
             return moved.outcome, None
         copy = Handoff(target, Origin(source.address, moved.handle))
-        moved = await self._stop(run, source, target)
+        moved = await self._stop_and_copy(run, source, target)
         origin = Origin(source.address, moved.handle)
         match moved.outcome:
             case MoveOutcome.COPIED:
@@ -269,37 +273,37 @@
             case _:
                 # refused or never sent, it stopped nothing
                 run.stopped = False
-                await self._drop(run, copy)
+                await self._drop_copy(run, copy)
                 return moved.outcome, None
 
-    async def _stop(
+    async def _stop_and_copy(
         self, run: LiveRun, source: Target, target: Target
-    ) -> Moved:
+    ) -> MoveResult:
         """Order the source to stop and to copy the rest.
 
         An order that never left stopped nothing: a stream that ends meanwhile
         is whole, and one that goes on is ordered to stop again.
         """
-        last = self._clock.monotonic() + COPY_SECONDS
+        last = self._clock.monotonic() + COPY_TIMEOUT_SECONDS
         while True:
             run.stopped = True
-            moved = await self._copy(run, source, target, last=True)
+            moved = await self._request_copy(run, source, target, last=True)
             if moved.outcome is not MoveOutcome.NOT_SENT:
                 return moved
             run.stopped = False
-            await run.await_loss(LOOK_PAUSE)
+            await run.await_loss(POLL_INTERVAL_SECONDS)
             if run.lost.is_set() or self._clock.monotonic() >= last:
                 return moved
 
-    def free(self, run: LiveRun, copy: Handoff) -> None:
+    def free_copy(self, run: LiveRun, copy: Handoff) -> None:
         """Let go of a copy whose generation has come to its end.
 
         :param run: that ended whole
         :param copy: that was made of it meanwhile
         """
-        self._keep(asyncio.create_task(self._drop(run, copy)))
+        self._track_task(asyncio.create_task(self._drop_copy(run, copy)))
 
-    async def _drop(self, run: LiveRun, copy: Handoff) -> None:
+    async def _drop_copy(self, run: LiveRun, copy: Handoff) -> None:
         """Free a copy that nothing goes on from.
 
         It would keep memory for seconds, and generations there would be
@@ -316,7 +320,9 @@
                 dropped=dropped,
             )
 
-    def _pick(self, run: LiveRun, tried: set[str]) -> Target | None:
+    def _choose_destination(
+        self, run: LiveRun, tried: set[str]
+    ) -> Target | None:
         engine = run.service.engine
         return self._chooser.choose_destination(
             run.service.name,
@@ -327,12 +333,12 @@
             run.plan.regions,
         )
 
-    async def _copy(
+    async def _request_copy(
         self, run: LiveRun, source: Target, target: Target, last: bool
-    ) -> Moved:
+    ) -> MoveResult:
         began = self._clock.monotonic()
         moved = await self._calls.move(
-            source, run.request.id, target, last, COPY_SECONDS
+            source, run.request.id, target, last, COPY_TIMEOUT_SECONDS
         )
         self._metrics.note_move(moved.outcome.value)
         self._log.info(
--- a/packages/gateway/src/chivepier/gateway/serving/moved.py
+++ b/packages/gateway/src/chivepier/gateway/serving/moveresult.py
@@ -6,7 +6,7 @@
 
 
 @attrs.frozen
-class Moved:
+class MoveResult:
     """The outcome, and the copy's name where there is one.
 
     :param outcome: whether the copy is complete
--- a/packages/gateway/src/chivepier/gateway/serving/planner.py
+++ b/packages/gateway/src/chivepier/gateway/serving/planner.py
@@ -50,7 +50,7 @@
             team=team.name if team else None,
             urgency=urgency,
             deadline=min(request.deadline, request.arrived + route.timeout),
-            demand=_measure(request, route),
+            demand=_estimate_demand(request, route),
             regions=_find_regions(route, team),
         )
 
@@ -79,7 +79,7 @@
     return frozenset.intersection(*given) if given else None
 
 
-def _measure(request: CallerRequest, route: Route) -> Demand | None:
+def _estimate_demand(request: CallerRequest, route: Route) -> Demand | None:
     prompt = request.prompt
     if prompt is None:
         return None
--- a/packages/gateway/src/chivepier/gateway/serving/prompt.py
+++ b/packages/gateway/src/chivepier/gateway/serving/prompt.py
@@ -8,17 +8,17 @@
     """Sizes in tokens.
 
     :param tokens: to be read in
-    :param most_output: to be generated at most
-    :param guess: the caller's guess of the output, right at the median only
+    :param max_output: to be generated at most
+    :param length_hint: the caller's guess of the output, a median at best
     """
 
     tokens: int
-    most_output: int
-    guess: int | None = None
+    max_output: int
+    length_hint: int | None = None
 
     @property
     def expected_output(self) -> int:
         """Tokens of output to plan with."""
-        if self.guess is None:
-            return self.most_output // 2
-        return min(self.guess, self.most_output)
+        if self.length_hint is None:
+            return self.max_output // 2
+        return min(self.length_hint, self.max_output)
--- a/packages/gateway/src/chivepier/gateway/serving/queueticket.py
+++ b/packages/gateway/src/chivepier/gateway/serving/queueticket.py
@@ -22,7 +22,7 @@
         if self._rank is not None:
             self._board.leave(self._service, self._rank)
 
-    def wait(self, rank: int) -> None:
+    def set_rank(self, rank: int) -> None:
         """Note that it waits on, in this rank."""
         if rank == self._rank:
             return
--- a/packages/gateway/src/chivepier/gateway/serving/refusals.py
+++ b/packages/gateway/src/chivepier/gateway/serving/rejectionpolicy.py
@@ -4,7 +4,7 @@
 
 from chivepier.gateway.eventlog import EventLog
 from chivepier.gateway.serving.plan import Plan
-from chivepier.gateway.serving.returns import Returns
+from chivepier.gateway.serving.retryafterscheduler import RetryAfterScheduler
 from chivepier.gateway.targets import TargetState
 from chivepier.gateway.targets import TargetTable
 from chivepier.types import Clock
@@ -15,12 +15,12 @@
 
 # Below this many seconds left no target can answer: a round trip between
 # availability zones and the shortest work take about as long.
-LEAST_LEFT = 0.02
+MIN_TIME_LEFT_SECONDS = 0.02
 # How often all targets may refuse before the caller is told to come back.
-MOST_ROUNDS = 3
+MAX_ROUNDS = 3
 
 
-class Refusals:
+class RejectionPolicy:
     """Decides when a request is given up, and what is true of it then.
 
     That it has not run is said only where no target had it; with it goes
@@ -28,7 +28,7 @@
 
     :param table: the targets
     :param clock: monotonic time
-    :param returns: when refused callers may come back
+    :param retry_after: when refused callers may come back
     :param log: refusals that targets' words lead to
     """
 
@@ -36,15 +36,15 @@
         self,
         table: TargetTable,
         clock: Clock,
-        returns: Returns,
+        retry_after: RetryAfterScheduler,
         log: EventLog,
     ):
         self._log = log
         self._table = table
         self._clock = clock
-        self._returns = returns
+        self._retry_after = retry_after
 
-    def check_time(self, plan: Plan, runs: int) -> None:
+    def check_deadline(self, plan: Plan, runs: int) -> None:
         """Give a request up whose time is over.
 
         :param plan: the request's
@@ -52,12 +52,14 @@
         :raises RequestError: when no target could answer it any more
         """
         left = plan.deadline - self._clock.monotonic()
-        if left >= LEAST_LEFT:
+        if left >= MIN_TIME_LEFT_SECONDS:
             return
         if runs:
             text = "the time is over; a target may have run it"
             raise RequestError.of(ErrorKind.TIMEOUT, text, Ran.UNKNOWN)
-        raise self._refusal("no target could take it in time", 0.5)
+        raise self._make_no_target_error(
+            "no target could take it in time", 0.5
+        )
 
     def check_rounds(
         self, plan: Plan, rounds: int, refused: bool, runs: int
@@ -70,14 +72,14 @@
         :param runs: targets that may have run it
         :raises RequestError: unless another round may find one
         """
-        if refused and rounds < MOST_ROUNDS:
+        if refused and rounds < MAX_ROUNDS:
             return
-        if not runs and self._is_shut_out(plan):
+        if not runs and self._is_barred_by_zone_rules(plan):
             text = "its targets' zones are evacuated, or not allowed for it"
             raise RequestError.of(ErrorKind.NO_TARGET, text)
-        raise self.give_up(plan, runs, "no target has room")
+        raise self.make_error(plan, runs, "no target has room")
 
-    def _is_shut_out(self, plan: Plan) -> bool:
+    def _is_barred_by_zone_rules(self, plan: Plan) -> bool:
         """Tell whether operators' orders alone leave it without a target."""
         now = self._clock.monotonic()
         service = plan.service.name
@@ -88,7 +90,7 @@
             for target in self._table
         )
 
-    def give_up(self, plan: Plan, runs: int, text: str) -> RequestError:
+    def make_error(self, plan: Plan, runs: int, text: str) -> RequestError:
         """Return the error of a request that is given up.
 
         :param plan: the request's
@@ -97,9 +99,9 @@
         """
         if runs:
             return RequestError.of(ErrorKind.TARGET_FAILED, text, Ran.UNKNOWN)
-        return self._refusal(text, plan.route.objective / 2)
+        return self._make_no_target_error(text, plan.route.objective / 2)
 
-    def give_up_over_limit(
+    def make_over_limit_error(
         self, plan: Plan, runs: int, rate: float, entries: int
     ) -> RequestError:
         """Return the error of a request that targets in need don't take.
@@ -110,14 +112,18 @@
         :param entries: that share it
         """
         if runs:
-            return self.give_up(plan, runs, "targets in need take no more")
+            return self.make_error(plan, runs, "targets in need take no more")
         now = self._clock.monotonic()
-        back = self._returns.book(plan.service.name, rate, entries, now)
-        self._note("over_limit", plan, back, rate=rate, entries=entries)
+        back = self._retry_after.schedule(
+            plan.service.name, rate, entries, now
+        )
+        self._log_rejection(
+            "over_limit", plan, back, rate=rate, entries=entries
+        )
         text = f"its targets are in need and take {rate:g} requests a second"
-        return self._overload(text, back)
+        return self._make_overload_error(text, back)
 
-    def give_up_at_rest(
+    def make_backoff_error(
         self, plan: Plan, runs: int, seconds: float
     ) -> RequestError:
         """Return the error of a request whose targets are all at rest.
@@ -128,12 +134,16 @@
         """
         text = "its targets have asked this instance to wait"
         if runs:
-            return self.give_up(plan, runs, text)
-        back = self._returns.spread(seconds)
-        self._note("all_at_rest", plan, back, first_ms=round(1000 * seconds))
-        return self._overload(text, back)
+            return self.make_error(plan, runs, text)
+        back = self._retry_after.add_jitter(seconds)
+        self._log_rejection(
+            "all_at_rest", plan, back, first_ms=round(1000 * seconds)
+        )
+        return self._make_overload_error(text, back)
 
-    def _note(self, event: str, plan: Plan, back: float, **facts) -> None:
+    def _log_rejection(
+        self, event: str, plan: Plan, back: float, **facts
+    ) -> None:
         self._log.warn(
             event,
             id=plan.request.id,
@@ -144,15 +154,15 @@
             **facts,
         )
 
-    def _overload(self, text: str, seconds: float) -> RequestError:
+    def _make_overload_error(self, text: str, seconds: float) -> RequestError:
         pause = datetime.timedelta(seconds=seconds)
         return RequestError(Failure(ErrorKind.OVERLOADED, text, Ran.NO, pause))
 
-    def _refusal(self, text: str, seconds: float) -> RequestError:
+    def _make_no_target_error(self, text: str, seconds: float) -> RequestError:
         pause = datetime.timedelta(seconds=seconds)
         return RequestError(Failure(ErrorKind.NO_TARGET, text, Ran.NO, pause))
 
-    def explain_loss(self, error: Exception) -> RequestError:
+    def make_lost_error(self, error: Exception) -> RequestError:
         """Return the error of a request that was lost at its last target.
 
         :param error: how it was lost
--- a/packages/gateway/src/chivepier/gateway/serving/relay.py
+++ b/packages/gateway/src/chivepier/gateway/serving/relay.py
@@ -129,7 +129,7 @@
         if run.stopped and not (run.doubtful and sent.answer.framed):
             return False
         if found is not None:
-            self._dispatcher.mover.free(run, found)
+            self._dispatcher.mover.free_copy(run, found)
         return True
 
     async def _await_handoff(self, run: LiveRun) -> Handoff | None:
@@ -314,7 +314,7 @@
         dispatcher.runs.watch(run)
         dispatcher.chooser.begin(run.target.instance)
         if dispatcher.table.leaves(run.target.instance):
-            dispatcher.mover.start(run)
+            dispatcher.mover.start_move(run)
         return Sent(run.target, answer, b"", run)
 
     def _cut(self, run: LiveRun) -> None:
--- a/packages/gateway/src/chivepier/gateway/serving/serving.py
+++ b/packages/gateway/src/chivepier/gateway/serving/requesthandler.py
@@ -15,10 +15,10 @@
 
 # Seconds for which requests wait for the first configuration of an entry that
 # has just started.
-FIRST_SECONDS = 0.6
+FIRST_CONFIG_TIMEOUT_SECONDS = 0.6
 
 
-class Serving:
+class RequestHandler:
     """What an entry does for callers.
 
     :param state: the configuration in force
@@ -55,9 +55,9 @@
                 text = "this instance is about to end"
                 raise RequestError.of(ErrorKind.DRAINING, text)
             if self._state.index is None:
-                await self._state.changed.wait(FIRST_SECONDS)
+                await self._state.changed.wait(FIRST_CONFIG_TIMEOUT_SECONDS)
             plan = self._planner.plan(request)
-            self._check_end(plan)
+            self._check_time_left(plan)
             await self._answer(plan, caller)
             outcome = "answered"
         except RequestError as error:
@@ -66,7 +66,7 @@
         finally:
             self.active -= 1
             seconds = clock.monotonic() - request.arrived
-            team, urgency = _name_class(plan)
+            team, urgency = _get_class_labels(plan)
             self._metrics.note_request(team, urgency, outcome, seconds)
             write = log.info if outcome == "answered" else log.warn
             write(
@@ -78,7 +78,7 @@
                 ms=round(1000 * seconds),
             )
 
-    def _check_end(self, plan: Plan) -> None:
+    def _check_time_left(self, plan: Plan) -> None:
         """Turn away a generation that would outlast this process.
 
         Callers come with older addresses for some seconds after the order to
@@ -122,7 +122,7 @@
             caller.abort()
 
 
-def _name_class(plan: Plan | None) -> tuple[str, str]:
+def _get_class_labels(plan: Plan | None) -> tuple[str, str]:
     if plan is None:
         return "", ""
     return plan.team or "", str(plan.urgency)
--- a/packages/gateway/src/chivepier/gateway/serving/retrybudget.py
+++ b/packages/gateway/src/chivepier/gateway/serving/retrybudget.py
@@ -6,16 +6,16 @@
 
 # Share of the allowance that is used at all. Entries learn of each other with
 # a delay, and one that has just started counts too few others.
-USED_SHARE = 0.7
+USABLE_FRACTION = 0.7
 # Shares of the fixed allowance: what each entry has a right to, and what is
 # lent to those that ask first. Together no more than is used at all.
-OWN_SHARE = 0.4
-LENT_SHARE = 0.3
+GUARANTEED_FRACTION = 0.4
+LENDABLE_FRACTION = 0.3
 # Seconds after which what the others have borrowed is no longer known: they
 # are told of everything twice in that time.
-KNOWN_SECONDS = 3.5
+PEER_COUNTS_TTL_SECONDS = 3.5
 # Seconds between two loans to one entry: until the others know of the last.
-LOAN_SECONDS = 0.1
+LOAN_INTERVAL_SECONDS = 0.1
 
 
 class RetryBudget:
@@ -37,20 +37,20 @@
     :param ratio: repeats for each request
     :param extra: repeats that all entries together may always send
     :param window: its length in seconds
-    :param me: this entry's name
+    :param entry: this entry's name
     """
 
     def __init__(
-        self, ratio: float, extra: float, window: float, me: str = ""
+        self, ratio: float, extra: float, window: float, entry: str = ""
     ):
-        self._me = me
+        self._entry = entry
         self._ratio = ratio
         self._extra = extra
         self._step = window / BUCKETS
         self._windows: dict[str, RetryWindow] = {}
         self._slot = 0
-        self._others: dict[tuple[str, str], int] = {}
-        self._told_at: float | None = None
+        self._peer_loans: dict[tuple[str, str], int] = {}
+        self._peer_loans_at: float | None = None
 
     def note_request(self, service: str, now: float) -> None:
         """Count a caller's request for a service.
@@ -58,7 +58,7 @@
         :param service: its name
         :param now: monotonic seconds
         """
-        self._find(service, now).requests[-1] += 1
+        self._get_window(service, now).requests[-1] += 1
 
     def take(self, service: str, now: float, entries: int) -> bool:
         """Count one repeat, if it is within the budget.
@@ -68,20 +68,20 @@
         :param entries: how many entries share the allowance
         :returns: whether it may be sent
         """
-        window = self._find(service, now)
-        lends = self._knows_others(now)
-        share = OWN_SHARE if lends else USED_SHARE
-        allowed = USED_SHARE * self._ratio * sum(window.requests)
+        window = self._get_window(service, now)
+        can_borrow = self._has_fresh_peer_counts(now)
+        share = GUARANTEED_FRACTION if can_borrow else USABLE_FRACTION
+        allowed = USABLE_FRACTION * self._ratio * sum(window.requests)
         allowed += share * self._extra / max(1, entries)
-        own = sum(window.repeats) - sum(window.lent)
+        own = sum(window.repeats) - sum(window.borrowed)
         if own + 1 > allowed:
-            if not lends or not self._borrow(service, window, now):
+            if not can_borrow or not self._borrow(service, window, now):
                 return False
-            window.lent[-1] += 1
+            window.borrowed[-1] += 1
         window.repeats[-1] += 1
         return True
 
-    def take_told(
+    def update_peer_loans(
         self, repeats: tuple[RepeatRecord, ...], whole: bool, now: float
     ) -> None:
         """Take what other entries have borrowed.
@@ -90,42 +90,45 @@
         :param whole: whether others have borrowed nothing
         :param now: monotonic seconds
         """
-        self._told_at = now
+        self._peer_loans_at = now
         if whole:
-            self._others.clear()
+            self._peer_loans.clear()
         for record in repeats:
-            if record.entry != self._me:
-                self._others[(record.entry, record.service)] = record.used
+            if record.entry != self._entry:
+                self._peer_loans[(record.entry, record.service)] = record.used
 
-    def own(self, now: float) -> list[RepeatRecord]:
+    def list_loans(self, now: float) -> list[RepeatRecord]:
         """Return what this entry has borrowed, by service.
 
         :param now: monotonic seconds
         """
         self._advance(int(now / self._step))
         return [
-            RepeatRecord(self._me, service, sum(window.lent))
+            RepeatRecord(self._entry, service, sum(window.borrowed))
             for service, window in self._windows.items()
         ]
 
-    def _knows_others(self, now: float) -> bool:
+    def _has_fresh_peer_counts(self, now: float) -> bool:
         return (
-            self._told_at is not None and now - self._told_at < KNOWN_SECONDS
+            self._peer_loans_at is not None
+            and now - self._peer_loans_at < PEER_COUNTS_TTL_SECONDS
         )
 
     def _borrow(self, service: str, window: RetryWindow, now: float) -> bool:
-        recent = window.lent_at is not None
-        if recent and now - window.lent_at < LOAN_SECONDS:
+        recent = window.borrowed_at is not None
+        if recent and now - window.borrowed_at < LOAN_INTERVAL_SECONDS:
             return False
-        lent = sum(window.lent) + sum(
-            used for (_, name), used in self._others.items() if name == service
+        lent = sum(window.borrowed) + sum(
+            used
+            for (_, name), used in self._peer_loans.items()
+            if name == service
         )
-        if lent + 1 > LENT_SHARE * self._extra:
+        if lent + 1 > LENDABLE_FRACTION * self._extra:
             return False
-        window.lent_at = now
+        window.borrowed_at = now
         return True
 
-    def _find(self, service: str, now: float) -> RetryWindow:
+    def _get_window(self, service: str, now: float) -> RetryWindow:
         self._advance(int(now / self._step))
         if service not in self._windows:
             self._windows[service] = RetryWindow()
--- a/packages/gateway/src/chivepier/gateway/serving/retrywindow.py
+++ b/packages/gateway/src/chivepier/gateway/serving/retrywindow.py
@@ -17,16 +17,16 @@
 
     :param requests: that callers sent
     :param repeats: that this entry sent, those with a loan included
-    :param lent: repeats that were lent
-    :param lent_at: when the last one was, in monotonic seconds
+    :param borrowed: repeats that were lent
+    :param borrowed_at: when the last one was, in monotonic seconds
     """
 
     requests: collections.deque[int] = attrs.field(factory=_make_buckets)
     repeats: collections.deque[int] = attrs.field(factory=_make_buckets)
-    lent: collections.deque[int] = attrs.field(factory=_make_buckets)
-    lent_at: float | None = None
+    borrowed: collections.deque[int] = attrs.field(factory=_make_buckets)
+    borrowed_at: float | None = None
 
     def advance(self) -> None:
         """Begin the next bucket; the oldest one counts no more."""
-        for buckets in (self.requests, self.repeats, self.lent):
+        for buckets in (self.requests, self.repeats, self.borrowed):
             buckets.append(0)
--- a/packages/gateway/src/chivepier/gateway/serving/runwatch.py
+++ b/packages/gateway/src/chivepier/gateway/serving/runwatch.py
@@ -96,7 +96,7 @@
             return 0.0
         service = plan.service.name
         reading = self._pace.estimate(service, prompt.tokens)
-        return reading + self._steps.estimate(service, prompt.most_output)
+        return reading + self._steps.estimate(service, prompt.max_output)
 
     def note_whole(self, run: LiveRun) -> None:
         """Learn from a generation that came to its end at one target."""
--- a/packages/gateway/src/chivepier/gateway/serving/placing.py
+++ b/packages/gateway/src/chivepier/gateway/serving/targetassigner.py
@@ -2,21 +2,21 @@
 
 from chivepier.gateway.eventlog import EventLog
 from chivepier.gateway.permits import Claim
+from chivepier.gateway.serving.assignment import Assignment
 from chivepier.gateway.serving.errors import AllAtRestError
 from chivepier.gateway.serving.errors import NoRoomError
 from chivepier.gateway.serving.errors import NotPermittedError
 from chivepier.gateway.serving.errors import NotSentError
 from chivepier.gateway.serving.errors import OverLimitError
 from chivepier.gateway.serving.guard import Guard
-from chivepier.gateway.serving.place import Place
 from chivepier.gateway.serving.plan import Plan
 from chivepier.gateway.serving.queueticket import QueueTicket
 from chivepier.gateway.serving.sendgate import SendGate
 from chivepier.gateway.serving.targetcalls import TargetCalls
-from chivepier.gateway.serving.waiting import find_rank
-from chivepier.gateway.serving.waiting import find_stage
-from chivepier.gateway.serving.waiting import REFUSED_SHARE
-from chivepier.gateway.serving.waiting import Stage
+from chivepier.gateway.serving.waitstage import classify_wait
+from chivepier.gateway.serving.waitstage import compute_rank
+from chivepier.gateway.serving.waitstage import MAX_WAIT_OBJECTIVES
+from chivepier.gateway.serving.waitstage import WaitStage
 from chivepier.gateway.targets import Chooser
 from chivepier.gateway.targets import QueueBoard
 from chivepier.gateway.targets import Target
@@ -25,18 +25,18 @@
 
 # Targets that are asked in one round. With the loads of all entries known to
 # some tens of milliseconds, the second has room where the first has none.
-MOST_ASKED = 3
+MAX_TARGETS_PER_ROUND = 3
 # Seconds between two rounds; at a full service some generation ends at each
 # target every second.
-ROUND_PAUSE = 0.1
+ROUND_INTERVAL_SECONDS = 0.1
 # Seconds for which room is kept: until the request has arrived and is read.
-KEPT_SECONDS = 1.0
+MAX_RESERVATION_SECONDS = 1.0
 # Share of its objective for which a plain call waits for its turn at a target
 # in need; the target's work takes some of the rest.
-PATIENT_SHARE = 0.5
+MAX_TURN_WAIT_FRACTION = 0.5
 
 
-class Placing:
+class TargetAssigner:
     """Reserves room at the best target before a request is sent.
 
     A request that is sent to a full target waits there, though another one
@@ -78,7 +78,9 @@
         self._clock = clock
         self._log = log
 
-    async def find(self, plan: Plan, tried: set[str]) -> Place | None:
+    async def find_assignment(
+        self, plan: Plan, tried: set[str]
+    ) -> Assignment | None:
         """Pick a target, with room where that can be reserved.
 
         :param plan: the request's
@@ -91,28 +93,28 @@
         """
         engine = plan.service.engine
         if plan.demand is None or engine is None or not engine.reserve_seconds:
-            await self._await_rests(plan)
-            return await self._find_permitted(plan, tried)
+            await self._await_backoffs(plan)
+            return await self._assign_unreserved(plan, tried)
         with QueueTicket(self._queues, plan.service.name) as ticket:
             while not self._guard.holds(plan):
-                await self._await_rests(plan, ticket)
-                if not self._rank(plan, tried):
+                await self._await_backoffs(plan, ticket)
+                if not self._rank_targets(plan, tried):
                     break
-                stage = self._find_stage(plan)
-                shortage = self._check_limits(plan)
-                if stage is Stage.OVER:
+                stage = self._classify_wait(plan)
+                all_limited = self._check_rate_limits(plan)
+                if stage is WaitStage.OVER:
                     self._log.info("no_room", id=plan.request.id)
                     raise NoRoomError
-                for target in self._select(plan, stage, tried):
-                    place = await self._take_place(plan, target, shortage)
+                for target in self._select_targets(plan, stage, tried):
+                    place = await self._try_target(plan, target, all_limited)
                     if place is not None:
                         return place
-                ticket.wait(find_rank(plan, stage))
-                await self._clock.sleep(ROUND_PAUSE)
+                ticket.set_rank(compute_rank(plan, stage))
+                await self._clock.sleep(ROUND_INTERVAL_SECONDS)
                 await self._gate.settle()
         return None
 
-    async def _await_rests(
+    async def _await_backoffs(
         self, plan: Plan, ticket: QueueTicket | None = None
     ) -> None:
         """Wait while all targets are at rest, if one is back soon enough.
@@ -127,57 +129,63 @@
             if pause is None:
                 return
             now = self._clock.monotonic()
-            if now + pause > self._find_last_start(plan):
+            if now + pause > self._compute_latest_start(plan):
                 raise AllAtRestError(pause)
             if ticket is not None:
-                ticket.wait(self._find_rank(plan))
+                ticket.set_rank(self._compute_rank(plan))
             await self._clock.sleep(pause)
 
-    def _find_last_start(self, plan: Plan) -> float:
+    def _compute_latest_start(self, plan: Plan) -> float:
         """Return until when a request waits for targets that take nothing."""
-        share = PATIENT_SHARE if plan.demand is None else REFUSED_SHARE
+        share = (
+            MAX_TURN_WAIT_FRACTION
+            if plan.demand is None
+            else MAX_WAIT_OBJECTIVES
+        )
         last = plan.request.arrived + share * plan.route.objective
         return min(last, plan.deadline)
 
-    async def _find_permitted(
+    async def _assign_unreserved(
         self, plan: Plan, tried: set[str]
-    ) -> Place | None:
+    ) -> Assignment | None:
         # those that are avoided come once none of the others is left: they
         # may have room, and the others may all be in need
-        while ranked := self._rank(plan, tried):
-            place = await self._try_ranked(plan, ranked, tried)
+        while ranked := self._rank_targets(plan, tried):
+            place = await self._permit_first(plan, ranked, tried)
             if place is not None:
                 return place
-        rate = self._find_shortage(plan)
+        rate = self._sum_rate_limits(plan)
         if rate is not None:
             raise OverLimitError(rate)
         return None
 
-    async def _try_ranked(
+    async def _permit_first(
         self, plan: Plan, ranked: list[Target], tried: set[str]
-    ) -> Place | None:
+    ) -> Assignment | None:
         """Pick the first target that may be sent to; note all before it."""
-        needy = self._gate.find_rates(ranked)
-        patient = len(needy) == len(ranked) and self._is_short(plan)
+        limited = self._gate.find_rates(ranked)
+        patient = len(limited) == len(ranked) and self._are_all_limited(plan)
         claim = self._make_claim(plan, patient)
         asked = 0
         for target in ranked:
             # each question holds the request up, and all may be in need
-            left_out = target.instance in needy and asked >= MOST_ASKED
+            left_out = (
+                target.instance in limited and asked >= MAX_TARGETS_PER_ROUND
+            )
             if not left_out and self._gate.find_pause(target, claim) is None:
-                asked += target.instance in needy
+                asked += target.instance in limited
                 permit = await self._gate.take_permit(
                     plan.service, target, claim
                 )
                 if permit is not None:
-                    return Place(target, None, permit)
+                    return Assignment(target, None, permit)
             tried.add(target.instance)
         return None
 
-    def _is_short(self, plan: Plan) -> bool:
-        return self._find_shortage(plan) is not None
+    def _are_all_limited(self, plan: Plan) -> bool:
+        return self._sum_rate_limits(plan) is not None
 
-    def _find_shortage(self, plan: Plan) -> float | None:
+    def _sum_rate_limits(self, plan: Plan) -> float | None:
         """Return the rate that all targets take together.
 
         :returns: requests a second; ``None`` unless all of them are in need
@@ -191,10 +199,10 @@
             return None
         return sum(rates.values())
 
-    def _find_rank(self, plan: Plan) -> int:
+    def _compute_rank(self, plan: Plan) -> int:
         if plan.demand is None:
             return plan.urgency
-        return find_rank(plan, self._find_stage(plan))
+        return compute_rank(plan, self._classify_wait(plan))
 
     def _make_claim(self, plan: Plan, patient: bool) -> Claim:
         """Build what decides about a request's turn at a target in need.
@@ -208,67 +216,69 @@
         patience = 0.0
         if patient and plan.demand is None:
             waited = self._clock.monotonic() - plan.request.arrived
-            patience = PATIENT_SHARE * plan.route.objective - waited
+            patience = MAX_TURN_WAIT_FRACTION * plan.route.objective - waited
         elif patient:
-            patience = ROUND_PAUSE
-        rank = self._find_rank(plan)
+            patience = ROUND_INTERVAL_SECONDS
+        rank = self._compute_rank(plan)
         return Claim(plan.team or "", rank, max(0.0, patience))
 
-    async def _take_place(
+    async def _try_target(
         self, plan: Plan, target: Target, patient: bool
-    ) -> Place | None:
+    ) -> Assignment | None:
         claim = self._make_claim(plan, patient)
         permit = await self._gate.take_permit(plan.service, target, claim)
         if permit is None:
             return None
         if self._gate.find_rate(target) is not None:
             # a reservation would come to it as one more request
-            return Place(target, None, permit)
+            return Assignment(target, None, permit)
         reservation = await self._reserve(plan, target)
         if reservation is None:
             return None
-        return Place(target, reservation, permit)
+        return Assignment(target, reservation, permit)
 
-    def _check_limits(self, plan: Plan) -> bool:
+    def _check_rate_limits(self, plan: Plan) -> bool:
         """Turn away what targets in need can't take before it is too late.
 
         :returns: whether all targets are in need
         :raises OverLimitError: when all are in need, and what goes before
             the request takes them too long
         """
-        rate = self._find_shortage(plan)
+        rate = self._sum_rate_limits(plan)
         if rate is None:
             return False
         now = self._clock.monotonic()
         # those of its own rank go first, too: it has just come
-        rank = self._find_rank(plan) + 1
+        rank = self._compute_rank(plan) + 1
         ahead = self._queues.ahead(plan.service.name, rank, now)
-        seconds = self._find_last_start(plan) - now
+        seconds = self._compute_latest_start(plan) - now
         if ahead > rate * seconds:
             raise OverLimitError(rate)
         return True
 
-    def _find_stage(self, plan: Plan) -> Stage:
+    def _classify_wait(self, plan: Plan) -> WaitStage:
         reading = self._chooser.pace.estimate(
             plan.service.name, plan.demand.prompt
         )
-        return find_stage(plan, self._clock.monotonic(), reading)
+        return classify_wait(plan, self._clock.monotonic(), reading)
 
-    def _select(
-        self, plan: Plan, stage: Stage, tried: set[str]
+    def _select_targets(
+        self, plan: Plan, stage: WaitStage, tried: set[str]
     ) -> list[Target]:
         """Pick the targets that are asked in this round."""
-        if stage is not Stage.PRESSING and not self._may_go(plan, stage):
+        if stage is not WaitStage.PRESSING and not self._has_spare_room(
+            plan, stage
+        ):
             return []
         claim = self._make_claim(plan, patient=False)
         found = [
             target
-            for target in self._rank(plan, tried, roomy=True)
+            for target in self._rank_targets(plan, tried, roomy=True)
             if self._gate.find_pause(target, claim) is None
         ]
-        return found[:MOST_ASKED]
+        return found[:MAX_TARGETS_PER_ROUND]
 
-    def _may_go(self, plan: Plan, stage: Stage) -> bool:
+    def _has_spare_room(self, plan: Plan, stage: WaitStage) -> bool:
         """Tell whether there is room beside all that goes first.
 
         Generations whose target leaves go before all that wait: without a
@@ -276,7 +286,7 @@
         """
         service = plan.service
         now = self._clock.monotonic()
-        rank = find_rank(plan, stage)
+        rank = compute_rank(plan, stage)
         ahead = self._queues.ahead(service.name, rank, now)
         ahead += self._chooser.count_leaving(service.name)
         places = self._chooser.count_places(
@@ -284,7 +294,7 @@
         )
         return places > ahead
 
-    def _rank(
+    def _rank_targets(
         self, plan: Plan, tried: set[str], roomy: bool = False
     ) -> list[Target]:
         service = plan.service
@@ -298,7 +308,9 @@
         )
 
     async def _reserve(self, plan: Plan, target: Target) -> str | None:
-        seconds = min(KEPT_SECONDS, plan.service.engine.reserve_seconds)
+        seconds = min(
+            MAX_RESERVATION_SECONDS, plan.service.engine.reserve_seconds
+        )
         try:
             return await self._calls.reserve(target, plan.demand.soon, seconds)
         except NotPermittedError:
--- a/packages/gateway/src/chivepier/gateway/serving/targetcalls.py
+++ b/packages/gateway/src/chivepier/gateway/serving/targetcalls.py
@@ -4,8 +4,8 @@
 from chivepier.gateway.serving.callerrequest import CallerRequest
 from chivepier.gateway.serving.errand import Errand
 from chivepier.gateway.serving.errors import NotPermittedError
-from chivepier.gateway.serving.moved import Moved
 from chivepier.gateway.serving.moveoutcome import MoveOutcome
+from chivepier.gateway.serving.moveresult import MoveResult
 from chivepier.gateway.serving.remarks import Remarks
 from chivepier.gateway.serving.sendgate import SendGate
 from chivepier.gateway.serving.sendorder import SendOrder
@@ -67,7 +67,7 @@
         destination: Target,
         last: bool,
         seconds: float,
-    ) -> Moved:
+    ) -> MoveResult:
         """Copy a live generation's memory to another target.
 
         :param last: stop the run first
@@ -79,7 +79,7 @@
                 source, request_id, destination, last, seconds, contact
             )
         except NotPermittedError:
-            return Moved(MoveOutcome.HELD_BACK)
+            return MoveResult(MoveOutcome.HELD_BACK)
 
     async def drop(self, target: Target, handle: str) -> bool:
         """Free a copy that no generation goes on from.
--- a/packages/gateway/src/chivepier/gateway/serving/targetport.py
+++ b/packages/gateway/src/chivepier/gateway/serving/targetport.py
@@ -4,7 +4,7 @@
 
 from chivepier.gateway.serving.callerrequest import CallerRequest
 from chivepier.gateway.serving.contact import Contact
-from chivepier.gateway.serving.moved import Moved
+from chivepier.gateway.serving.moveresult import MoveResult
 from chivepier.gateway.serving.sendorder import SendOrder
 from chivepier.gateway.serving.targetanswer import TargetAnswer
 from chivepier.gateway.targets import Liveness
@@ -52,7 +52,7 @@
         last: bool,
         seconds: float,
         contact: Contact,
-    ) -> Moved:
+    ) -> MoveResult:
         """Copy a live generation's memory to another target.
 
         :param last: stop the run first
--- a/packages/gateway/src/chivepier/gateway/serving/tests/fakeengines.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/fakeengines.py
@@ -7,8 +7,8 @@
 from chivepier.gateway.serving import AnswerCutError
 from chivepier.gateway.serving import AnswerFacts
 from chivepier.gateway.serving import LostError
-from chivepier.gateway.serving import Moved
 from chivepier.gateway.serving import MoveOutcome
+from chivepier.gateway.serving import MoveResult
 from chivepier.gateway.serving import NotSentError
 from chivepier.gateway.targets import Liveness
 from chivepier.gateway.targets import Target
@@ -152,7 +152,7 @@
     ):
         """Copy a run's memory; the last copy stops it first."""
         if source.instance in self.dark:
-            return Moved(MoveOutcome.NOT_SENT)
+            return MoveResult(MoveOutcome.NOT_SENT)
         contact.begin()
         contact.hear(AnswerFacts(limit=None))
         self.moves.append((source.instance, destination.instance, last))
@@ -160,15 +160,15 @@
         await asyncio.sleep(0)
         run = self.find(source.instance)
         if run is None or not run.number:
-            return Moved(MoveOutcome.NO_RUN)
+            return MoveResult(MoveOutcome.NO_RUN)
         if last:
             run.stopped = True
             run.cut()
         handle = f"h-{request_id}"
         if destination.instance in self.full:
-            return Moved(MoveOutcome.NO_ROOM, handle if last else "")
+            return MoveResult(MoveOutcome.NO_ROOM, handle if last else "")
         self.copies.add((source.address, handle))
-        return Moved(MoveOutcome.COPIED, handle)
+        return MoveResult(MoveOutcome.COPIED, handle)
 
     def at_stop(self, act) -> None:
         """Let something happen as an order to stop for the last copy comes.
--- a/packages/gateway/src/chivepier/gateway/serving/tests/parts.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/parts.py
@@ -39,10 +39,10 @@
 from chivepier.gateway.serving import Planner
 from chivepier.gateway.serving import Prompt
 from chivepier.gateway.serving import Remarks
+from chivepier.gateway.serving import RequestHandler
+from chivepier.gateway.serving import RetryAfterScheduler
 from chivepier.gateway.serving import RetryBudget
-from chivepier.gateway.serving import Returns
 from chivepier.gateway.serving import SendGate
-from chivepier.gateway.serving import Serving
 from chivepier.gateway.serving import ServingState
 from chivepier.gateway.serving import TargetCalls
 from chivepier.gateway.serving.tests.fakeengines import FakeAnswer
@@ -205,8 +205,8 @@
             log,
             Metrics(),
         )
-        self.table.watchers.append(self.mover.note_target)
-        self.table.restart_watchers.append(self.mover.note_restart)
+        self.table.watchers.append(self.mover.handle_state_change)
+        self.table.restart_watchers.append(self.mover.cancel_restarted)
         self.budget = RetryBudget(0.2, 10, 10)
         self.dispatcher = Dispatcher(
             state=self.state,
@@ -220,13 +220,13 @@
             budget=self.budget,
             guard=guard,
             gate=gate,
-            returns=Returns(rng),
+            returns=RetryAfterScheduler(rng),
             clock=clock,
             log=log,
         )
-        self.quarantine.watchers.append(self.mover.note_held)
+        self.quarantine.watchers.append(self.mover.cancel_held_back)
         self.planner = Planner(self.state, rng)
-        self.serving = Serving(
+        self.serving = RequestHandler(
             self.state, self.planner, self.dispatcher, Metrics()
         )
         self.configure(engine)
@@ -367,7 +367,7 @@
         "key": "k1",
         "arrived": now,
         "deadline": now + 20.0,
-        "prompt": Prompt(tokens=100, most_output=900) if streams else None,
+        "prompt": Prompt(tokens=100, max_output=900) if streams else None,
     }
     return CallerRequest(**{**fields, **changes})
 
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_dispatching.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_dispatching.py
@@ -205,7 +205,7 @@
     # A stream was begun by an instance that ended before it could.
     async def test(parts):
         parts.state.ends_at = tell_time() + 4.0
-        prompt = Prompt(tokens=100, most_output=1000)
+        prompt = Prompt(tokens=100, max_output=1000)
         failure = await fail(parts, make_request(prompt=prompt))
         assert failure.kind is ErrorKind.DRAINING
         assert failure.ran is Ran.NO
@@ -220,7 +220,7 @@
         parts.state.ends_at = tell_time() + 4.0
         answer_all(parts)
         assert (await parts.serve(make_request("/plain/x"))).status == 200
-        prompt = Prompt(tokens=100, most_output=12)
+        prompt = Prompt(tokens=100, max_output=12)
         caller, task = parts.start(make_request(prompt=prompt))
         run = await parts.engines.wait_run(1)
         await finish(task, run, 3)
@@ -238,7 +238,7 @@
         run.make(100)
         await asyncio.sleep(0.1)
         await finish(task, run, 100)
-        prompt = Prompt(tokens=100, most_output=1000)
+        prompt = Prompt(tokens=100, max_output=1000)
         parts.state.ends_at = tell_time() + 4.0
         caller, task = parts.start(make_request(prompt=prompt))
         run = await parts.engines.wait_run(2)
@@ -256,7 +256,7 @@
         run = await parts.engines.wait_run(1)
         await finish(task, run, 3)
         parts.state.ends_at = tell_time() + 3.7
-        prompt = Prompt(tokens=3_400, most_output=2_200)
+        prompt = Prompt(tokens=3_400, max_output=2_200)
         failure = await fail(parts, make_request(prompt=prompt))
         assert failure.kind is ErrorKind.DRAINING
 
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_retrybudget.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_retrybudget.py
@@ -23,9 +23,9 @@
         """Let every entry know what all have borrowed."""
         told: tuple[RepeatRecord, ...] = ()
         for budget in self.budgets:
-            told += tuple(r for r in budget.own(self.now) if r.used)
+            told += tuple(r for r in budget.list_loans(self.now) if r.used)
         for budget in self.budgets:
-            budget.take_told(told, True, self.now)
+            budget.update_peer_loans(told, True, self.now)
 
     def take(self, number: int) -> bool:
         """Let one entry ask for a repeat."""
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_silence.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_silence.py
@@ -24,7 +24,7 @@
     for runs in parts.mover._runs.values():
         for run in runs:
             run.heard -= seconds
-    await parts.mover.end_silent()
+    await parts.mover.cancel_silent_runs()
 
 
 def test_caller_of_a_target_that_went_dark_is_told():
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_stopping.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_stopping.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from chivepier.gateway.serving import Moved
 from chivepier.gateway.serving import MoveOutcome
+from chivepier.gateway.serving import MoveResult
 from chivepier.gateway.serving.tests.parts import begin
 from chivepier.gateway.serving.tests.parts import finish
 from chivepier.gateway.serving.tests.parts import play
@@ -43,7 +43,7 @@
 
         def end():
             run.end()
-            return Moved(MoveOutcome.NO_RUN)
+            return MoveResult(MoveOutcome.NO_RUN)
 
         parts.engines.at_stop(end)
         parts.leave(run.target)
@@ -64,7 +64,7 @@
 
         def die():
             run.cut()
-            return Moved(MoveOutcome.FAILED)
+            return MoveResult(MoveOutcome.FAILED)
 
         parts.engines.at_stop(die)
         parts.leave(run.target)
@@ -111,7 +111,7 @@
             parts.engines.full.add(other)
             parts.engines.copies.clear()
             refused.append(other)
-            return Moved(outcome)
+            return MoveResult(outcome)
 
         parts.engines.at_stop(refuse)
         parts.leave(run.target)
@@ -137,7 +137,7 @@
         def lose():
             run.make(1)
             run.end()
-            return Moved(MoveOutcome.FAILED)
+            return MoveResult(MoveOutcome.FAILED)
 
         parts.engines.at_stop(lose)
         parts.leave(run.target)
@@ -185,7 +185,7 @@
             if lost:
                 return None
             lost.append(run.make(1))
-            return Moved(MoveOutcome.NOT_SENT)
+            return MoveResult(MoveOutcome.NOT_SENT)
 
         parts.engines.at_stop(lose_first)
         parts.leave(run.target)
--- a/packages/gateway/src/chivepier/gateway/serving/waiting.py
+++ b/packages/gateway/src/chivepier/gateway/serving/waitstage.py
@@ -6,19 +6,19 @@
 
 # Share of its objective for which a request leaves the room to what goes
 # before it.
-EARLY_SHARE = 0.5
+EARLY_FRACTION = 0.5
 # Share of its objective after which the first event can't come in time, what
 # its prompt takes to be read included.
-LATE_SHARE = 1.0
+LATE_FRACTION = 1.0
 # Objectives after which a request is refused, before its caller leaves.
-REFUSED_SHARE = 3.0
+MAX_WAIT_OBJECTIVES = 3.0
 # Share of its objective that a request must have left of its time.
-LEAST_SHARE = 0.25
+MIN_TIME_LEFT_FRACTION = 0.25
 # Ranks of requests that are late come after all others.
-LATE_RANK = 10
+LATE_RANK_OFFSET = 10
 
 
-class Stage(enum.Enum):
+class WaitStage(enum.Enum):
     """How long a request has waited, by its objective.
 
     ``EARLY`` ones can still wait for a good place, ``PRESSING`` ones take
@@ -32,7 +32,7 @@
     OVER = "over"
 
 
-def find_stage(plan: Plan, now: float, reading: float = 0.0) -> Stage:
+def classify_wait(plan: Plan, now: float, reading: float = 0.0) -> WaitStage:
     """Tell how long a request has waited.
 
     :param plan: the request's
@@ -41,22 +41,22 @@
     """
     waited = (now - plan.request.arrived) / plan.route.objective
     left = (plan.deadline - now) / plan.route.objective
-    if left < LEAST_SHARE:
-        return Stage.OVER
-    if waited < EARLY_SHARE:
-        return Stage.EARLY
-    if waited + reading / plan.route.objective < LATE_SHARE:
-        return Stage.PRESSING
-    if waited < REFUSED_SHARE:
-        return Stage.LATE
-    return Stage.OVER
-
-
-def find_rank(plan: Plan, stage: Stage) -> int:
+    if left < MIN_TIME_LEFT_FRACTION:
+        return WaitStage.OVER
+    if waited < EARLY_FRACTION:
+        return WaitStage.EARLY
+    if waited + reading / plan.route.objective < LATE_FRACTION:
+        return WaitStage.PRESSING
+    if waited < MAX_WAIT_OBJECTIVES:
+        return WaitStage.LATE
+    return WaitStage.OVER
+
+
+def compute_rank(plan: Plan, stage: WaitStage) -> int:
     """Return a request's place in the order; the lowest goes first.
 
     :param plan: the request's
     :param stage: how long it has waited
     """
-    late = stage in (Stage.LATE, Stage.OVER)
-    return plan.urgency + (LATE_RANK if late else 0)
+    late = stage in (WaitStage.LATE, WaitStage.OVER)
+    return plan.urgency + (LATE_RANK_OFFSET if late else 0)
--- a/tests/adapter/test_callers.py
+++ b/tests/adapter/test_callers.py
@@ -268,8 +268,8 @@
             _, writer = await asyncio.open_connection("127.0.0.1", door.port)
             writer.write(part)
             writers.append(writer)
-        taken = 3 * (size // 2)
-        while door.entry.bodies.taken < taken:
+        used_bytes = 3 * (size // 2)
+        while door.entry.bodies.used_bytes < used_bytes:
             await asyncio.sleep(0.01)
         reader, writer = await asyncio.open_connection("127.0.0.1", door.port)
         writer.write(part)
@@ -279,7 +279,7 @@
         assert door.raw.requests == []
         for writer in writers:
             writer.close()
-        while door.entry.bodies.taken:
+        while door.entry.bodies.used_bytes:
             await asyncio.sleep(0.01)
         assert read_status(await door.ask(make_call("/once/x"))) == 200
 
@@ -296,7 +296,7 @@
         writer.write(call + b"x" * 400)
         answer = await reader.readuntil(b"}")
         assert read_status(answer) == 504 and b"did not come" in answer
-        assert door.entry.bodies.taken == 0 and not door.raw.requests
+        assert door.entry.bodies.used_bytes == 0 and not door.raw.requests
         writer.close()
 
     run(answer_ok, test)
