--- a/packages/gateway/src/chivepier/gateway/serving/__init__.py
+++ b/packages/gateway/src/chivepier/gateway/serving/__init__.py
@@ -1,4 +1,4 @@
-"""Serving callers: from a request to a whole answer of one target."""
+"""Request handling, from a caller's request to the relayed answer."""
 
 from chivepier.gateway.serving.answerfacts import AnswerFacts
 from chivepier.gateway.serving.bodyallocation import BodyAllocation
--- a/packages/gateway/src/chivepier/gateway/serving/assignment.py
+++ b/packages/gateway/src/chivepier/gateway/serving/assignment.py
@@ -1,4 +1,4 @@
-"""Where a request goes."""
+"""Target assigned to a request."""
 
 import attrs
 
@@ -8,11 +8,11 @@
 
 @attrs.frozen
 class Assignment:
-    """A target, with room there where that can be reserved.
+    """The target of a request, with its reservation and permit.
 
-    :param target: the target
-    :param reservation: of room there, if one was had
-    :param permit: to send it
+    :param target: target to send the request to
+    :param reservation: handle of the room reserved there, if any
+    :param permit: permit to send the request
     """
 
     target: Target
--- a/packages/gateway/src/chivepier/gateway/serving/bodyallocation.py
+++ b/packages/gateway/src/chivepier/gateway/serving/bodyallocation.py
@@ -1,4 +1,4 @@
-"""What the body of one request takes."""
+"""Memory allocated to the body of one request."""
 
 import collections.abc
 
@@ -7,20 +7,20 @@
 
 @attrs.define
 class BodyAllocation:
-    """What one body takes so far of the room that all share.
+    """The part of the shared body memory that one body uses.
 
-    :param reserve: takes more of that room
-    :param used_bytes: bytes
+    :param reserve: reserves more bytes of the shared memory
+    :param used_bytes: size of the body so far
     """
 
     reserve: collections.abc.Callable[[int], None]
     used_bytes: int = 0
 
     def extend(self, count: int) -> None:
-        """Take room for bytes that have come.
+        """Allocate memory for received bytes.
 
-        :param count: of them
-        :raises RequestError: when there is none; nothing has run
+        :param count: number of bytes
+        :raises RequestError: if the limit is exceeded; nothing has run
         """
         self.reserve(count)
         self.used_bytes += count
--- a/packages/gateway/src/chivepier/gateway/serving/bodymemory.py
+++ b/packages/gateway/src/chivepier/gateway/serving/bodymemory.py
@@ -1,4 +1,4 @@
-"""How much memory the bodies of all callers may take."""
+"""Limiting the memory of buffered request bodies."""
 
 import collections.abc
 import contextlib
@@ -12,13 +12,13 @@
 
 @attrs.define
 class BodyMemory:
-    """Bounds the bodies that are kept at the same time.
+    """Limits the total size of the bodies that are buffered.
 
-    A body is kept until its request has ended, as it may have to be sent
-    again. Each is bounded by the configuration, but many together end the
-    process, with all that it relays; their callers send them again at the next
-    instance, and end that one. What finds no room is refused, true as to
-    having run nowhere.
+    A body is buffered until its request has ended, as it may have to be sent
+    again. The configuration limits each body, but many together could exhaust
+    the memory of the process and end all its streams; their callers would
+    retry at the next instance and exhaust that one. A body beyond the limit
+    is rejected, with the information that the request has not run.
 
     >>> memory = BodyMemory(10)
     >>> with memory.allocate() as body:
@@ -28,8 +28,8 @@
     >>> memory.used_bytes
     0
 
-    :param max_bytes: bytes of all bodies together
-    :param used_bytes: bytes that are kept now
+    :param max_bytes: maximum total size of all bodies
+    :param used_bytes: current total size
     """
 
     max_bytes: int
@@ -37,7 +37,7 @@
 
     @contextlib.contextmanager
     def allocate(self) -> collections.abc.Iterator[BodyAllocation]:
-        """Give a request a share, until it has ended."""
+        """Allocate memory to a request until the context is left."""
         allocation = BodyAllocation(self._reserve)
         try:
             yield allocation
@@ -46,6 +46,6 @@
 
     def _reserve(self, count: int) -> None:
         if self.used_bytes + count > self.max_bytes:
-            text = "too many bodies are being sent to this instance"
+            text = "the buffers for request bodies of this instance are full"
             raise RequestError.of(ErrorKind.OVERLOADED, text)
         self.used_bytes += count
--- a/packages/gateway/src/chivepier/gateway/serving/callerrequest.py
+++ b/packages/gateway/src/chivepier/gateway/serving/callerrequest.py
@@ -1,4 +1,4 @@
-"""One request of a caller."""
+"""Request as received from a caller."""
 
 import attrs
 
@@ -7,20 +7,20 @@
 
 @attrs.frozen(kw_only=True)
 class CallerRequest:
-    """What a caller sent, whole.
+    """A complete request of a caller.
 
-    :param id: the caller's, new for each attempt
-    :param method: of HTTP
+    :param id: request id of the caller, new for each attempt
+    :param method: HTTP method
     :param url: path and query, byte for byte as sent
-    :param path: without the query
-    :param host: that the caller addressed
-    :param headers: those to be passed on, in order
-    :param body: whole
-    :param key: the caller's, if it sent one
-    :param arrived: when its head was read, in monotonic seconds
-    :param deadline: when the caller stops waiting, in monotonic seconds
-    :param prompt: set when it asks for a generation
-    :param last_event: where the caller wants a stream to go on
+    :param path: path without the query
+    :param host: host that the caller addressed
+    :param headers: headers to forward, in their order
+    :param body: complete body
+    :param key: API key, if the caller sent one
+    :param arrived: monotonic time in seconds when the head was read
+    :param deadline: monotonic time in seconds when the caller stops waiting
+    :param prompt: size of the generation; ``None`` for other requests
+    :param last_event: id of the event after which a stream is to continue
     """
 
     id: str
--- a/packages/gateway/src/chivepier/gateway/serving/copyturns.py
+++ b/packages/gateway/src/chivepier/gateway/serving/copyturns.py
@@ -1,4 +1,4 @@
-"""Taking turns to copy memory off a target that leaves."""
+"""Serializing the memory copies off a leaving target."""
 
 import asyncio
 import collections.abc
@@ -9,25 +9,25 @@
 from chivepier.gateway.targets import LoadBoard
 from chivepier.types import Clock
 
-# Seconds until entries know of each other what they have to copy.
+# Seconds until an announcement of pending copies has reached all entries.
 PEER_UPDATE_SECONDS = 0.08
-# Seconds between two looks whether the other entries have copied: news of
-# them take as long.
+# Interval of checks whether the other entries have finished copying; their
+# updates take about as long to arrive.
 POLL_INTERVAL_SECONDS = 0.03
-# Seconds to wait for other entries' copies at most: a target that leaves
-# gives a notice of about two seconds, and an entry may be frozen.
+# Maximum wait for the copies of other entries: a leaving target gives a notice
+# of about two seconds, and another entry may hang.
 MAX_WAIT_SECONDS = 1.2
 
 
 class CopyTurns:
-    """Lets one generation at a time be copied off a target, over all entries.
+    """Serializes the copies off each target across all entries.
 
-    All copies of one target share its link, one after the other. Asked for at
-    once, the short second copies would wait behind other generations' long
-    first ones, with their own stopped meanwhile.
+    The copies off one target share its network link and are made one after
+    the other. If all were ordered at once, the short second copy of a stopped
+    generation would wait behind the long first copies of others.
 
-    :param board: what the other entries have to copy
-    :param clock: monotonic time
+    :param board: shares the pending copies with the other entries
+    :param clock: source of monotonic time
     """
 
     def __init__(self, board: LoadBoard, clock: Clock):
@@ -38,10 +38,10 @@
         self._locks: dict[str, asyncio.Lock] = {}
 
     def announce(self, source: str, runs: set[LiveRun]) -> None:
-        """Tell the other entries what this one has to copy.
+        """Announce this entry's pending copies to the other entries.
 
-        :param source: the target that leaves
-        :param runs: its generations here
+        :param source: the instance that is leaving
+        :param runs: its generations that this entry relays
         """
         due = self._pending.setdefault(source, set())
         if runs <= due:
@@ -51,7 +51,7 @@
         self._publish(source)
 
     def withdraw(self, source: str, run: LiveRun) -> None:
-        """Let the others go first: there is no place for it yet."""
+        """Withdraw a pending copy, so that other entries need not wait."""
         due = self._pending.get(source, set())
         if run in due:
             due.discard(run)
@@ -59,11 +59,11 @@
 
     @property
     def sources(self) -> set[str]:
-        """The targets of which anything is known."""
+        """The targets with any stored state."""
         return {*self._pending, *self._published_at, *self._locks}
 
     def forget(self, source: str) -> None:
-        """Drop what is known of a target without generations."""
+        """Delete the state of a target that has no generations left."""
         for known in (self._pending, self._published_at, self._locks):
             known.pop(source, None)
         self._board.take_turn(source, 0)
@@ -76,7 +76,7 @@
     async def take(
         self, source: str, run: LiveRun
     ) -> collections.abc.AsyncIterator[None]:
-        """Hold the turn of one generation."""
+        """Wait for the turn of a generation and hold it in the context."""
         async with self._locks.setdefault(source, asyncio.Lock()):
             self.announce(source, {run})
             await self._wait_for_turn(source, run)
--- a/packages/gateway/src/chivepier/gateway/serving/handoff.py
+++ b/packages/gateway/src/chivepier/gateway/serving/handoff.py
@@ -1,4 +1,4 @@
-"""Where a generation goes on."""
+"""Where a moved generation continues."""
 
 import attrs
 
@@ -8,10 +8,10 @@
 
 @attrs.frozen
 class Handoff:
-    """The next target of a generation, and the memory it starts from.
+    """The next target of a generation, and the memory it continues from.
 
-    :param target: where to send the request again
-    :param origin: ``None``: it is run anew from the prompt
+    :param target: target to send the request to
+    :param origin: the copied memory; ``None`` to start over from the prompt
     """
 
     target: Target
--- a/packages/gateway/src/chivepier/gateway/serving/moveoutcome.py
+++ b/packages/gateway/src/chivepier/gateway/serving/moveoutcome.py
@@ -1,16 +1,16 @@
-"""What a source target answers to a copy."""
+"""Outcome of an order to copy a generation's memory."""
 
 import enum
 
 
 class MoveOutcome(enum.Enum):
-    """Whether a copy is complete, and why it is not.
+    """Whether a copy is complete, or the reason why it is not.
 
-    ``NO_RUN``: the source runs no such request any more; ``BUSY``: another
-    copy of it is under way; ``NO_ROOM``: the destination is full or can't be
-    reached from the source; ``NOT_SENT``: no connection to the source stood;
-    ``FAILED``: no answer came; ``HELD_BACK``: the source must not be sent
-    anything now.
+    ``NO_RUN``: the source no longer runs the request; ``BUSY``: another copy
+    of it is in progress; ``NO_ROOM``: the destination is full or unreachable
+    from the source; ``NOT_SENT``: no connection to the source; ``FAILED``: no
+    answer from the source; ``HELD_BACK``: nothing may be sent to the source
+    now.
     """
 
     COPIED = "copied"
--- a/packages/gateway/src/chivepier/gateway/serving/mover.py
+++ b/packages/gateway/src/chivepier/gateway/serving/mover.py
@@ -1,4 +1,4 @@
-"""Moving live generations off targets that leave."""
+"""Moving running generations off targets that are leaving."""
 
 import asyncio
 import collections.abc
@@ -22,38 +22,38 @@
 from chivepier.gateway.targets import TargetTable
 from chivepier.types import Clock
 
-# Destinations that are tried for one generation in a row: the most roomy ones
-# come first, and where three of them are full the others are.
+# Destinations tried for one generation in a row. The ones with the most free
+# memory come first, so if three of them are full the others are full as well.
 MAX_DESTINATIONS = 3
-# Seconds to wait for one copy, which waits for those before it.
+# Timeout of one copy, which may queue behind other copies.
 COPY_TIMEOUT_SECONDS = 4.0
-# Seconds between two looks for room, or for the first event of a generation
-# that has not begun.
+# Interval of checks for a destination with room, and for the first event of a
+# generation that has not started.
 POLL_INTERVAL_SECONDS = 0.1
-# Seconds without a byte after which it is looked whether a target has ended;
-# longer than the pause of a preempted generation.
+# Seconds without data after which a target is probed. Longer than the pause of
+# a preempted generation.
 STALLED_SECONDS = 3.0
-# Seconds without a byte after which a generation counts as lost where that
-# can't be seen: the target is dark, or cut off, as it may be for some seconds.
+# Seconds without data after which a generation counts as lost if a probe can't
+# tell. The target may be down, or just unreachable for some seconds.
 UNREACHABLE_TIMEOUT_SECONDS = 10.0
-# Seconds between two looks for such targets.
+# Interval of checks for such targets.
 SILENCE_CHECK_INTERVAL_SECONDS = 0.5
 
 
 class Mover:
-    """Keeps the live generations and moves those whose target leaves.
-
-    A first copy is made while the generation goes on; then it is stopped,
-    and what it made meanwhile is copied. So the caller's stream pauses for
-    the second copy only, some milliseconds, and not for the first.
-
-    :param calls: reaches targets
-    :param chooser: finds destinations
-    :param table: which targets leave
-    :param board: what the other entries have to move
-    :param guard: knows what must not run anywhere else
-    :param clock: monotonic time
-    :param log: decisions on requests
+    """Tracks running generations and moves those on leaving targets.
+
+    The memory of a generation is copied once while it keeps running. Then it
+    is stopped, and what was added meanwhile is copied. So the caller's stream
+    pauses only for the second copy, which takes some milliseconds.
+
+    :param calls: sends copy orders to targets
+    :param chooser: ranks destinations
+    :param table: the known targets and their states
+    :param board: loads of targets, and what other entries have to copy
+    :param guard: tells which requests are held back
+    :param clock: source of monotonic time
+    :param log: receives the events of moves
     :param metrics: counts copies
     """
 
@@ -81,11 +81,11 @@
         self._tasks: set[asyncio.Task] = set()
 
     def add(self, run: LiveRun) -> None:
-        """Watch a generation at its target."""
+        """Track a generation on its current target."""
         self._runs.setdefault(run.target.instance, set()).add(run)
 
     def remove(self, run: LiveRun) -> None:
-        """Stop watching it there."""
+        """Stop tracking a generation on its current target."""
         runs = self._runs.get(run.target.instance, set())
         runs.discard(run)
         if not runs:
@@ -95,10 +95,10 @@
     def handle_state_change(
         self, target: Target, before: TargetState | None
     ) -> None:
-        """Move everything off a target that has begun to leave.
+        """Move all generations off a target that has started to leave.
 
-        :param target: as announced
-        :param before: its state until now
+        :param target: the target with its new state
+        :param before: its previous state; ``None`` for a new target
         """
         if target.state is TargetState.READY or before is target.state:
             return
@@ -110,25 +110,26 @@
             self.start_move(run)
 
     def cancel_restarted(self, target: Target) -> None:
-        """Break off what ran at a target that has started again.
+        """Cancel the generations of a target that has restarted.
 
-        :param target: as it was known before
+        :param target: the target as known before the restart
         """
         for run in list(self._runs.get(target.instance, ())):
             run.break_off()
 
     async def watch_silent_targets(self) -> None:
-        """Look for targets that have gone, for as long as the node lives."""
+        """Check for silent targets periodically, until cancelled."""
         while True:
             await self._clock.sleep(SILENCE_CHECK_INTERVAL_SECONDS)
             await self.cancel_silent_runs()
 
     async def cancel_silent_runs(self) -> None:
-        """Break off what ran at targets that have gone without a word.
+        """Cancel the generations of targets that failed silently.
 
-        Nothing ends the connection to a target that went dark: a caller whose
-        request may run once only would wait up to its deadline. A target that
-        is cut off from the voters alone still sends, and what it runs goes on.
+        The connection to a target that became unreachable is never closed, so
+        callers whose request may run only once would wait until their
+        deadline. A target that has lost only the voters still sends data, and
+        its generations go on.
         """
         now = self._clock.monotonic()
         for name, runs in list(self._runs.items()):
@@ -142,7 +143,7 @@
                 run.break_off()
 
     async def _is_gone(self, stalled: set[LiveRun]) -> bool:
-        """Tell whether the target of stalled generations has ended."""
+        """Return whether the target of stalled generations has failed."""
         now = self._clock.monotonic()
         last = max(stalled, key=lambda run: run.heard)
         if not self._table.is_silent(last.target, now):
@@ -154,19 +155,20 @@
         return await self._calls.probe(last.target) is Liveness.ENDED
 
     def cancel_held_back(self, digest: str) -> None:
-        """Break off what has not begun of a request that is held back.
+        """Cancel sends of a held-back request that have not started to run.
 
-        Its copies are being read at other targets when the third one ends;
-        targets drop what its sender leaves before it runs.
+        A request is held back after three targets ended under it. Targets may
+        still be reading further sends of the same request; they drop a
+        request whose sender disconnects before it runs.
 
-        :param digest: the request's
+        :param digest: digest of the request
         """
         for run in [run for runs in self._runs.values() for run in runs]:
             if run.began is None and run.plan.digest == digest:
                 run.break_off()
 
     def start_move(self, run: LiveRun) -> None:
-        """Begin to move one generation, unless that is under way."""
+        """Start to move a generation, unless it is already being moved."""
         engine = run.service.engine
         if run.handoff is not None or engine is None or not engine.moves:
             return
@@ -181,7 +183,7 @@
 
     @property
     def busy(self) -> bool:
-        """Whether any move is under way, or anything is kept of one."""
+        """Whether any move is running or the state of one is still kept."""
         return bool(self._tasks or self._turns.sources)
 
     async def _move(
@@ -197,15 +199,15 @@
         if not handoff.done():
             handoff.set_result(found)
         if source not in self._runs:
-            # the last run there ended while its turn was taken: targets come
-            # and go, and what is kept of each would pile up
+            # the last run of this target ended during its turn; without
+            # this, state of targets that are gone would accumulate
             self._turns.forget(source)
 
     async def _copy_in_turn(self, run: LiveRun) -> Handoff | None:
-        """Copy the memory as soon as it is there and a target has room.
+        """Copy the memory once the run has started and a target has room.
 
-        At a busy service some generation ends at each target every second,
-        so room is looked for as long as the notice lasts.
+        At a busy service each target finishes about one generation a second,
+        so a destination is searched until the source ends.
         """
         source = run.target.instance
         while not run.ended and run.target.instance == source:
@@ -229,8 +231,8 @@
             if target is None or run.ended:
                 break
             tried.add(target.instance)
-            # many runs look for a place at the same moment: without this
-            # all would take the one that was the emptiest before
+            # many runs choose a destination at the same time: without this
+            # they would all choose the same least-loaded one
             with self._reserve_load(run.counted, target):
                 outcome, found = await self._copy_to(run, source, target)
             if found is not None or outcome is not MoveOutcome.NO_ROOM:
@@ -261,17 +263,18 @@
             case MoveOutcome.COPIED:
                 return moved.outcome, Handoff(target, origin)
             case MoveOutcome.NO_ROOM if moved.handle:
-                # stopped, but the rest found no room: the source goes on
+                # stopped, but no room for the second copy: the source
+                # keeps the memory, and the generation continues there
                 return moved.outcome, Handoff(source, origin)
             case MoveOutcome.NOT_SENT if run.lost.is_set():
                 return moved.outcome, copy
             case MoveOutcome.FAILED:
-                # the source may have ended meanwhile: the first copy holds
+                # the source may have failed meanwhile: the first copy holds
                 # all but the last few tokens
                 run.doubtful = True
                 return moved.outcome, copy
             case _:
-                # refused or never sent, it stopped nothing
+                # the order to stop was refused or never sent
                 run.stopped = False
                 await self._drop_copy(run, copy)
                 return moved.outcome, None
@@ -279,10 +282,10 @@
     async def _stop_and_copy(
         self, run: LiveRun, source: Target, target: Target
     ) -> MoveResult:
-        """Order the source to stop and to copy the rest.
+        """Order the source to stop the run and to copy the rest.
 
-        An order that never left stopped nothing: a stream that ends meanwhile
-        is whole, and one that goes on is ordered to stop again.
+        An order that was not sent is repeated after a pause: the run was not
+        stopped by it, and if its stream ends meanwhile it is complete.
         """
         last = self._clock.monotonic() + COPY_TIMEOUT_SECONDS
         while True:
@@ -296,21 +299,22 @@
                 return moved
 
     def free_copy(self, run: LiveRun, copy: Handoff) -> None:
-        """Let go of a copy whose generation has come to its end.
+        """Free the copy of a generation that has finished.
 
-        :param run: that ended whole
-        :param copy: that was made of it meanwhile
+        :param run: the run, which ended complete
+        :param copy: the copy that was made of its memory
         """
         self._track_task(asyncio.create_task(self._drop_copy(run, copy)))
 
     async def _drop_copy(self, run: LiveRun, copy: Handoff) -> None:
-        """Free a copy that nothing goes on from.
+        """Free a copy that no generation continues from.
 
-        It would keep memory for seconds, and generations there would be
-        preempted for it.
+        Otherwise it would occupy memory for seconds, and generations on that
+        target would be preempted for it.
         """
         elsewhere = copy.origin is not None and copy.target is not run.target
-        # nothing is sent to a zone that is evacuated; it yields by itself
+        # nothing is sent to an evacuated zone; a copy there is released by
+        # its target
         if elsewhere and self._chooser.is_open(copy.target):
             dropped = await self._calls.drop(copy.target, copy.origin.handle)
             self._log.info(
@@ -353,7 +357,7 @@
         return moved
 
     async def close(self) -> None:
-        """Stop all moves."""
+        """Cancel all running moves."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/packages/gateway/src/chivepier/gateway/serving/moveresult.py
+++ b/packages/gateway/src/chivepier/gateway/serving/moveresult.py
@@ -1,4 +1,4 @@
-"""How copying a generation's memory went."""
+"""Result of a copy of a generation's memory."""
 
 import attrs
 
@@ -7,11 +7,11 @@
 
 @attrs.frozen
 class MoveResult:
-    """The outcome, and the copy's name where there is one.
+    """The outcome of a copy, and the handle of the copied memory.
 
     :param outcome: whether the copy is complete
-    :param handle: also set after a stop without room elsewhere: the source
-        still keeps the memory
+    :param handle: identifies the copy; after ``NO_ROOM`` for a stopped run,
+        the memory that the source still holds; otherwise empty
     """
 
     outcome: MoveOutcome
--- a/packages/gateway/src/chivepier/gateway/serving/plan.py
+++ b/packages/gateway/src/chivepier/gateway/serving/plan.py
@@ -1,4 +1,4 @@
-"""What is to be done for one request, decided when it arrives."""
+"""Plan of one request, made when it arrives."""
 
 import functools
 
@@ -16,9 +16,9 @@
 class Plan:
     """A request with its route, team and limits.
 
-    :param deadline: when it must be answered, in monotonic seconds
-    :param demand: set for generations
-    :param regions: that it may reach; ``None`` for all
+    :param deadline: monotonic time until which it must be answered
+    :param demand: size of the generation; ``None`` for other requests
+    :param regions: regions it may be sent to; ``None`` for all
     """
 
     request: CallerRequest
@@ -32,12 +32,12 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether it may run again when its outcome is unknown."""
+        """Whether the request may run again if its outcome is unknown."""
         return self.route.repetition is not Repetition.ONCE
 
     @functools.cached_property
     def digest(self) -> str:
-        """What the same request has whenever and wherever it comes."""
+        """Digest that is equal for identical requests at all entries."""
         request = self.request
         return digest_request(
             self.team,
--- a/packages/gateway/src/chivepier/gateway/serving/planner.py
+++ b/packages/gateway/src/chivepier/gateway/serving/planner.py
@@ -1,4 +1,4 @@
-"""Deciding what a request is, by the configuration in force."""
+"""Planning requests by the active configuration."""
 
 import random
 
@@ -15,10 +15,10 @@
 
 
 class Planner:
-    """Finds route, team and service.
+    """Determines the route, team and service of requests.
 
-    :param state: the configuration in force
-    :param rng: draws the service where a route has several
+    :param state: the active configuration
+    :param rng: draws the service of a route with several ones, by weight
     """
 
     def __init__(self, state: ServingState, rng: random.Random):
@@ -26,19 +26,23 @@
         self._rng = rng
 
     def plan(self, request: CallerRequest) -> Plan:
-        """Work out what to do.
+        """Return the plan of a request.
 
-        :param request: the caller's
-        :returns: the plan
-        :raises RequestError: when the request is not to be served
+        :param request: the request of the caller
+        :returns: its route, team, service and limits
+        :raises RequestError: if there is no configuration yet, no route
+            matches or the API key is unknown
         """
         index = self._state.index
         if index is None:
-            text = "this instance knows no configuration yet"
+            text = "this instance has not received a configuration yet"
             raise RequestError.of(ErrorKind.NOT_READY, text)
         route = index.find_route(request.host, request.path)
         if route is None:
-            raise RequestError.of(ErrorKind.NOT_FOUND, "no such route")
+            raise RequestError.of(
+                ErrorKind.NOT_FOUND,
+                "no route matches the host and path of the request",
+            )
         team = self._find_team(index, route, request)
         urgency = route.urgency
         if team is not None and team.urgency is not None:
@@ -61,7 +65,7 @@
             return None
         team = index.find_team(request.key or "")
         if team is None:
-            raise RequestError.of(ErrorKind.UNAUTHORIZED, "unknown key")
+            raise RequestError.of(ErrorKind.UNAUTHORIZED, "unknown API key")
         return team
 
     def _pick_service(self, index: RouteIndex, route: Route) -> Service:
--- a/packages/gateway/src/chivepier/gateway/serving/prompt.py
+++ b/packages/gateway/src/chivepier/gateway/serving/prompt.py
@@ -1,15 +1,16 @@
-"""What a request says of the generation it asks for."""
+"""Size of the generation that a request asks for."""
 
 import attrs
 
 
 @attrs.frozen(kw_only=True)
 class Prompt:
-    """Sizes in tokens.
+    """Sizes of the prompt and of the output, in tokens.
 
-    :param tokens: to be read in
-    :param max_output: to be generated at most
-    :param length_hint: the caller's guess of the output, a median at best
+    :param tokens: length of the prompt
+    :param max_output: maximum length of the output
+    :param length_hint: the caller's estimate of the output length, which is
+        right only at the median
     """
 
     tokens: int
@@ -18,7 +19,7 @@
 
     @property
     def expected_output(self) -> int:
-        """Tokens of output to plan with."""
+        """Expected length of the output."""
         if self.length_hint is None:
             return self.max_output // 2
         return min(self.length_hint, self.max_output)
--- a/packages/gateway/src/chivepier/gateway/serving/queueticket.py
+++ b/packages/gateway/src/chivepier/gateway/serving/queueticket.py
@@ -1,13 +1,13 @@
-"""A request's place among those that wait."""
+"""Counting a request as waiting."""
 
 from chivepier.gateway.targets import QueueBoard
 
 
 class QueueTicket:
-    """Counts a request while it waits; leaving the context ends that.
+    """Counts a request as waiting until the context is left.
 
-    :param board: the counts of all entries
-    :param service: whose targets it waits for
+    :param board: the numbers of waiting requests at all entries
+    :param service: name of the service that the request waits for
     """
 
     def __init__(self, board: QueueBoard, service: str):
@@ -23,7 +23,7 @@
             self._board.leave(self._service, self._rank)
 
     def set_rank(self, rank: int) -> None:
-        """Note that it waits on, in this rank."""
+        """Count the request as waiting in this rank, and in no other."""
         if rank == self._rank:
             return
         self._board.enter(self._service, rank)
--- a/packages/gateway/src/chivepier/gateway/serving/rejectionpolicy.py
+++ b/packages/gateway/src/chivepier/gateway/serving/rejectionpolicy.py
@@ -1,4 +1,4 @@
-"""What callers are told of requests that are given up."""
+"""Rejecting requests, with the error that the caller gets."""
 
 import datetime
 
@@ -13,23 +13,24 @@
 from chivepier.types import Ran
 from chivepier.types import RequestError
 
-# Below this many seconds left no target can answer: a round trip between
-# availability zones and the shortest work take about as long.
+# With less time left no target can answer: a round trip between availability
+# zones and the shortest processing take about as long.
 MIN_TIME_LEFT_SECONDS = 0.02
-# How often all targets may refuse before the caller is told to come back.
+# Number of rounds in which all targets may refuse before the request is
+# rejected.
 MAX_ROUNDS = 3
 
 
 class RejectionPolicy:
-    """Decides when a request is given up, and what is true of it then.
+    """Decides when a request is rejected, and with which error.
 
-    That it has not run is said only where no target had it; with it goes
-    when to come back.
+    An error says that the request has not run only if no target may have run
+    it. Such an error also tells the caller when to retry.
 
-    :param table: the targets
-    :param clock: monotonic time
-    :param retry_after: when refused callers may come back
-    :param log: refusals that targets' words lead to
+    :param table: the known targets
+    :param clock: source of monotonic time
+    :param retry_after: schedules the retries of rejected callers
+    :param log: receives rejections caused by rate limits and backoffs
     """
 
     def __init__(
@@ -45,42 +46,44 @@
         self._retry_after = retry_after
 
     def check_deadline(self, plan: Plan, runs: int) -> None:
-        """Give a request up whose time is over.
+        """Reject a request whose deadline is too close.
 
-        :param plan: the request's
-        :param runs: targets that may have run it
-        :raises RequestError: when no target could answer it any more
+        :param plan: the plan of the request
+        :param runs: number of targets that may have run it
+        :raises RequestError: if no target could answer before the deadline
         """
         left = plan.deadline - self._clock.monotonic()
         if left >= MIN_TIME_LEFT_SECONDS:
             return
         if runs:
-            text = "the time is over; a target may have run it"
+            text = "the deadline has passed; a target may have run the request"
             raise RequestError.of(ErrorKind.TIMEOUT, text, Ran.UNKNOWN)
         raise self._make_no_target_error(
-            "no target could take it in time", 0.5
+            "no target could accept the request before its deadline", 0.5
         )
 
     def check_rounds(
         self, plan: Plan, rounds: int, refused: bool, runs: int
     ) -> None:
-        """Give a request up that finds no target.
+        """Reject a request that finds no target.
 
-        :param plan: the request's
-        :param rounds: how often no target was left to be tried
-        :param refused: whether any was tried in the last round
-        :param runs: targets that may have run it
-        :raises RequestError: unless another round may find one
+        :param plan: the plan of the request
+        :param rounds: number of rounds that ended without a target to try
+        :param refused: whether any target was tried in the last round
+        :param runs: number of targets that may have run it
+        :raises RequestError: unless another round may find a target
         """
         if refused and rounds < MAX_ROUNDS:
             return
         if not runs and self._is_barred_by_zone_rules(plan):
-            text = "its targets' zones are evacuated, or not allowed for it"
+            text = (
+                "the zones of its targets are evacuated or not allowed for it"
+            )
             raise RequestError.of(ErrorKind.NO_TARGET, text)
         raise self.make_error(plan, runs, "no target has room")
 
     def _is_barred_by_zone_rules(self, plan: Plan) -> bool:
-        """Tell whether operators' orders alone leave it without a target."""
+        """Return whether zone rules alone exclude all ready targets."""
         now = self._clock.monotonic()
         service = plan.service.name
         if self._table.select(service, now, plan.regions):
@@ -91,11 +94,11 @@
         )
 
     def make_error(self, plan: Plan, runs: int, text: str) -> RequestError:
-        """Return the error of a request that is given up.
+        """Return the error of a rejected request.
 
-        :param plan: the request's
-        :param runs: targets that may have run it
-        :param text: why
+        :param plan: the plan of the request
+        :param runs: number of targets that may have run it
+        :param text: reason for the rejection
         """
         if runs:
             return RequestError.of(ErrorKind.TARGET_FAILED, text, Ran.UNKNOWN)
@@ -104,15 +107,17 @@
     def make_over_limit_error(
         self, plan: Plan, runs: int, rate: float, entries: int
     ) -> RequestError:
-        """Return the error of a request that targets in need don't take.
+        """Return the error of a request beyond its targets' rate limits.
 
-        :param plan: the request's
-        :param runs: targets that may have run it
-        :param rate: requests a second that they take together
-        :param entries: that share it
+        :param plan: the plan of the request
+        :param runs: number of targets that may have run it
+        :param rate: sum of the rate limits, in requests per second
+        :param entries: number of entries that share the rate
         """
         if runs:
-            return self.make_error(plan, runs, "targets in need take no more")
+            return self.make_error(
+                plan, runs, "the rate limits of all targets are used up"
+            )
         now = self._clock.monotonic()
         back = self._retry_after.schedule(
             plan.service.name, rate, entries, now
@@ -120,19 +125,19 @@
         self._log_rejection(
             "over_limit", plan, back, rate=rate, entries=entries
         )
-        text = f"its targets are in need and take {rate:g} requests a second"
+        text = f"its targets accept no more than {rate:g} requests per second"
         return self._make_overload_error(text, back)
 
     def make_backoff_error(
         self, plan: Plan, runs: int, seconds: float
     ) -> RequestError:
-        """Return the error of a request whose targets are all at rest.
+        """Return the error of a request whose targets all back off.
 
-        :param plan: the request's
-        :param runs: targets that may have run it
-        :param seconds: until the first of them is back
+        :param plan: the plan of the request
+        :param runs: number of targets that may have run it
+        :param seconds: time until the first of them accepts requests
         """
-        text = "its targets have asked this instance to wait"
+        text = "all its targets asked this instance to back off"
         if runs:
             return self.make_error(plan, runs, text)
         back = self._retry_after.add_jitter(seconds)
@@ -165,7 +170,7 @@
     def make_lost_error(self, error: Exception) -> RequestError:
         """Return the error of a request that was lost at its last target.
 
-        :param error: how it was lost
+        :param error: the failure of the send
         """
         if isinstance(error, TimeoutError):
             text = "the target did not answer in time"
--- a/packages/gateway/src/chivepier/gateway/serving/requesthandler.py
+++ b/packages/gateway/src/chivepier/gateway/serving/requesthandler.py
@@ -1,4 +1,4 @@
-"""Serving one request from its arrival to its end."""
+"""Handling one request from its arrival to its end."""
 
 import asyncio
 
@@ -13,17 +13,17 @@
 from chivepier.types import ErrorKind
 from chivepier.types import RequestError
 
-# Seconds for which requests wait for the first configuration of an entry that
-# has just started.
+# Maximum wait of a request for the first configuration of an entry that has
+# just started.
 FIRST_CONFIG_TIMEOUT_SECONDS = 0.6
 
 
 class RequestHandler:
-    """What an entry does for callers.
+    """Handles the requests of callers at an entry.
 
-    :param state: the configuration in force
-    :param planner: finds route and team
-    :param dispatcher: sends to targets
+    :param state: the active configuration
+    :param planner: determines the route, team and service
+    :param dispatcher: sends requests to targets
     :param metrics: counts requests
     """
 
@@ -41,18 +41,19 @@
         self.active = 0
 
     async def serve(self, request: CallerRequest, caller: CallerPort) -> None:
-        """Answer a request.
+        """Handle a request and relay the answer to the caller.
 
-        :param request: the caller's
-        :param caller: its connection
-        :raises RequestError: when nothing was sent yet and it failed
+        :param request: the request of the caller
+        :param caller: connection to the caller
+        :raises RequestError: if it fails before anything was sent to the
+            caller
         """
         clock, log = self._dispatcher.clock, self._dispatcher.log
         self.active += 1
         outcome, plan = "cancelled", None
         try:
             if self._state.stopping:
-                text = "this instance is about to end"
+                text = "this instance is shutting down"
                 raise RequestError.of(ErrorKind.DRAINING, text)
             if self._state.index is None:
                 await self._state.changed.wait(FIRST_CONFIG_TIMEOUT_SECONDS)
@@ -79,20 +80,20 @@
             )
 
     def _check_time_left(self, plan: Plan) -> None:
-        """Turn away a generation that would outlast this process.
+        """Reject a generation that would outlast this process.
 
-        Callers come with older addresses for some seconds after the order to
-        stop. Told at once that nothing ran, they come back to another instance
-        at once.
+        For some seconds after the order to stop, callers still use the address
+        of this instance. An immediate error that says that nothing has run
+        lets them retry at another instance at once.
 
-        :raises RequestError: when it can't be finished here
+        :raises RequestError: if the generation can't finish here
         """
         ends_at = self._state.ends_at
         if ends_at is None:
             return
         left = ends_at - self._dispatcher.clock.monotonic()
         if self._dispatcher.runs.estimate(plan) > left:
-            text = "this instance ends before the generation would"
+            text = "this instance shuts down before the generation would end"
             raise RequestError.of(ErrorKind.DRAINING, text)
 
     async def _answer(self, plan: Plan, caller: CallerPort) -> None:
--- a/packages/gateway/src/chivepier/gateway/serving/retryafterscheduler.py
+++ b/packages/gateway/src/chivepier/gateway/serving/retryafterscheduler.py
@@ -1,31 +1,32 @@
-"""When callers that were refused may come back."""
+"""Scheduling the retries of rejected callers."""
 
 import random
 
-# Requests a second below which a rate says nothing of when to come back.
+# Lower bound of the rate, in requests per second, that delays are computed
+# from.
 MIN_REQUESTS_PER_SECOND = 0.2
-# Seconds after which callers are not told to come back any later: by then
-# what targets take has changed, or those refused before have given up.
+# Maximum retry delay: by then the rate limits have changed, or the callers
+# rejected before have given up.
 MAX_DELAY_SECONDS = 20.0
 
-# Share of a time, and seconds besides, over which callers are spread that wait
-# for one moment.
+# Callers that wait for the same time get a random extra delay of up to this
+# fraction of it plus the minimum.
 JITTER_FRACTION = 0.5
 MIN_JITTER_SECONDS = 0.1
 
 
 class RetryAfterScheduler:
-    """Spreads callers that were refused over the rate that is left.
+    """Spreads the retries of rejected callers over the available rate.
 
-    All told the same, they would come back together, and all but one be
-    refused again. Each entry spreads its own over its part of the rate; the
-    moments of all entries then come at the rate itself.
+    With equal delays they would retry together, and all but one would be
+    rejected again. Each entry schedules its own callers at its share of the
+    rate, so the retries at all entries together arrive at the full rate.
 
     >>> retries = RetryAfterScheduler(random.Random(1))
     >>> [round(retries.schedule("s", 2.0, 1, 0.0), 1) for _ in range(3)]
     [0.5, 1.0, 1.5]
 
-    :param rng: draws where the last moments are taken
+    :param rng: draws the jitter, and delays when the schedule is full
     """
 
     def __init__(self, rng: random.Random):
@@ -33,9 +34,9 @@
         self._next: dict[str, float] = {}
 
     def add_jitter(self, seconds: float) -> float:
-        """Return when one of many callers may come back.
+        """Return a retry delay in seconds, with random jitter added.
 
-        :param seconds: after which the first target is back
+        :param seconds: time until the first target accepts requests
         """
         most = MIN_JITTER_SECONDS + JITTER_FRACTION * seconds
         return seconds + self._rng.uniform(0.0, most)
@@ -43,12 +44,12 @@
     def schedule(
         self, service: str, rate: float, entries: int, now: float
     ) -> float:
-        """Return the seconds after which one more caller may come back.
+        """Return the delay in seconds for the retry of one more caller.
 
-        :param service: whose targets are in need
-        :param rate: requests a second that they take together
-        :param entries: that spread their callers, this one included
-        :param now: monotonic seconds
+        :param service: name of the service with rate-limited targets
+        :param rate: sum of their rate limits, in requests per second
+        :param entries: number of live entries, this one included
+        :param now: current monotonic time in seconds
         """
         apart = max(1, entries) / max(rate, MIN_REQUESTS_PER_SECOND)
         retry_at = max(now, self._next.get(service, now)) + apart
--- a/packages/gateway/src/chivepier/gateway/serving/retrybudget.py
+++ b/packages/gateway/src/chivepier/gateway/serving/retrybudget.py
@@ -1,43 +1,46 @@
-"""Sending again, within a budget that all entries share."""
+"""Limiting repeats to a budget that all entries share."""
 
 from chivepier.gateway.messages import RepeatRecord
 from chivepier.gateway.serving.retrywindow import BUCKETS
 from chivepier.gateway.serving.retrywindow import RetryWindow
 
-# Share of the allowance that is used at all. Entries learn of each other with
-# a delay, and one that has just started counts too few others.
+# Fraction of the budget that is used at all: entries learn of each other's
+# loans with a delay, and one that has just started knows too few entries.
 USABLE_FRACTION = 0.7
-# Shares of the fixed allowance: what each entry has a right to, and what is
-# lent to those that ask first. Together no more than is used at all.
+# Fractions of the fixed allowance: the part divided equally among entries, and
+# the part lent on a first-come basis. Their sum must not exceed
+# USABLE_FRACTION.
 GUARANTEED_FRACTION = 0.4
 LENDABLE_FRACTION = 0.3
-# Seconds after which what the others have borrowed is no longer known: they
-# are told of everything twice in that time.
+# Seconds after which the loans of other entries count as unknown; full reports
+# arrive twice in that time.
 PEER_COUNTS_TTL_SECONDS = 3.5
-# Seconds between two loans to one entry: until the others know of the last.
+# Seconds between two loans to one entry, in which the other entries learn of
+# the first.
 LOAN_INTERVAL_SECONDS = 0.1
 
 
 class RetryBudget:
-    """Counts by service over a sliding window.
+    """Limits repeats per service over a sliding window.
 
-    A target that fails everything would else double its own load, at the
-    moment when it can bear it least. Each entry takes a part of its own
-    requests, and an equal part of the fixed allowance.
+    Without a limit, a target that fails every request would double its load
+    when it can handle it least. Each entry may repeat a fraction of its own
+    requests, plus an equal part of a fixed allowance.
 
-    With many entries an equal part is next to nothing, and callers keep to a
-    few entries. So a part of the allowance is lent, while all entries together
-    have not borrowed it.
+    With many entries an equal part is almost nothing, and callers use only a
+    few entries. So a part of the allowance is lent to entries that need it,
+    until all entries together have borrowed all of it.
 
     >>> budget = RetryBudget(ratio=0.2, extra=10, window=10)
     >>> budget.note_request("s", 0.0)
     >>> [budget.take("s", 0.0, entries=2) for _ in range(5)]
     [True, True, True, False, False]
 
-    :param ratio: repeats for each request
-    :param extra: repeats that all entries together may always send
-    :param window: its length in seconds
-    :param entry: this entry's name
+    :param ratio: allowed repeats per request
+    :param extra: fixed allowance of repeats per window, for all entries
+        together
+    :param window: length of the window in seconds
+    :param entry: name of this entry
     """
 
     def __init__(
@@ -55,18 +58,18 @@
     def note_request(self, service: str, now: float) -> None:
         """Count a caller's request for a service.
 
-        :param service: its name
-        :param now: monotonic seconds
+        :param service: name of the service
+        :param now: current monotonic time in seconds
         """
         self._get_window(service, now).requests[-1] += 1
 
     def take(self, service: str, now: float, entries: int) -> bool:
         """Count one repeat, if it is within the budget.
 
-        :param service: its name
-        :param now: monotonic seconds
-        :param entries: how many entries share the allowance
-        :returns: whether it may be sent
+        :param service: name of the service
+        :param now: current monotonic time in seconds
+        :param entries: number of entries that share the allowance
+        :returns: whether the repeat may be sent
         """
         window = self._get_window(service, now)
         can_borrow = self._has_fresh_peer_counts(now)
@@ -84,11 +87,11 @@
     def update_peer_loans(
         self, repeats: tuple[RepeatRecord, ...], whole: bool, now: float
     ) -> None:
-        """Take what other entries have borrowed.
+        """Update the loans of other entries.
 
-        :param repeats: their counts
-        :param whole: whether others have borrowed nothing
-        :param now: monotonic seconds
+        :param repeats: their numbers of borrowed repeats
+        :param whole: whether entries not listed have borrowed nothing
+        :param now: current monotonic time in seconds
         """
         self._peer_loans_at = now
         if whole:
@@ -98,9 +101,9 @@
                 self._peer_loans[(record.entry, record.service)] = record.used
 
     def list_loans(self, now: float) -> list[RepeatRecord]:
-        """Return what this entry has borrowed, by service.
+        """Return this entry's borrowed repeats of each service.
 
-        :param now: monotonic seconds
+        :param now: current monotonic time in seconds
         """
         self._advance(int(now / self._step))
         return [
--- a/packages/gateway/src/chivepier/gateway/serving/retrywindow.py
+++ b/packages/gateway/src/chivepier/gateway/serving/retrywindow.py
@@ -1,4 +1,4 @@
-"""Counts of one service over a sliding window."""
+"""Request counts of one service over a sliding window."""
 
 import collections
 
@@ -13,12 +13,13 @@
 
 @attrs.define
 class RetryWindow:
-    """Requests and repeats of one service; the newest bucket is the last.
+    """Requests and repeats of one service; the last bucket is the newest.
 
-    :param requests: that callers sent
-    :param repeats: that this entry sent, those with a loan included
-    :param borrowed: repeats that were lent
-    :param borrowed_at: when the last one was, in monotonic seconds
+    :param requests: requests that callers sent, per bucket
+    :param repeats: repeats that this entry sent, borrowed ones included
+    :param borrowed: repeats that this entry borrowed
+    :param borrowed_at: monotonic time of the last loan in seconds; ``None``
+        before the first one
     """
 
     requests: collections.deque[int] = attrs.field(factory=_make_buckets)
@@ -27,6 +28,6 @@
     borrowed_at: float | None = None
 
     def advance(self) -> None:
-        """Begin the next bucket; the oldest one counts no more."""
+        """Start a new bucket and drop the oldest one."""
         for buckets in (self.requests, self.repeats, self.borrowed):
             buckets.append(0)
--- a/packages/gateway/src/chivepier/gateway/serving/servingstate.py
+++ b/packages/gateway/src/chivepier/gateway/serving/servingstate.py
@@ -1,4 +1,4 @@
-"""What serving knows of the configuration and of its peers."""
+"""Configuration and shutdown state shared by request handling."""
 
 import attrs
 
@@ -8,13 +8,14 @@
 
 @attrs.define
 class ServingState:
-    """The newest configuration, and how many entries share budgets.
-
-    :param index: ``None`` until the first configuration is known
-    :param entries: entries that are alive, this one included
-    :param stopping: whether new requests are turned away
-    :param ends_at: when this process ends, in monotonic seconds; ``None``
-        until it is told to
+    """The newest configuration, the number of entries, and shutdown state.
+
+    :param index: the configuration; ``None`` until the first one is received
+    :param entries: number of live entries, this one included, which share
+        budgets and rates
+    :param stopping: whether new requests are rejected
+    :param ends_at: monotonic time in seconds when this process ends; ``None``
+        unless it was told to stop
     :param changed: set at each newer configuration
     """
 
@@ -25,9 +26,9 @@
     changed: Signal = attrs.field(factory=Signal)
 
     def adopt(self, index: RouteIndex) -> bool:
-        """Take a configuration that is newer than the one held.
+        """Replace the configuration if the given one is newer.
 
-        :param index: the arranged configuration
+        :param index: the indexed configuration
         :returns: whether it was newer
         """
         if self.index is not None and index.version <= self.index.version:
--- a/packages/gateway/src/chivepier/gateway/serving/targetassigner.py
+++ b/packages/gateway/src/chivepier/gateway/serving/targetassigner.py
@@ -1,4 +1,4 @@
-"""Finding a target that has room for a generation now."""
+"""Assigning a request to a target that has room for it."""
 
 from chivepier.gateway.eventlog import EventLog
 from chivepier.gateway.permits import Claim
@@ -23,39 +23,41 @@
 from chivepier.gateway.targets import TargetHealth
 from chivepier.types import Clock
 
-# Targets that are asked in one round. With the loads of all entries known to
-# some tens of milliseconds, the second has room where the first has none.
+# Targets asked for a reservation in one round. Load reports are some tens of
+# milliseconds old, so a target ranked second may have room when the first has
+# none.
 MAX_TARGETS_PER_ROUND = 3
-# Seconds between two rounds; at a full service some generation ends at each
-# target every second.
+# Interval between two rounds of reservation attempts. At a fully loaded
+# service, each target finishes about one generation a second.
 ROUND_INTERVAL_SECONDS = 0.1
-# Seconds for which room is kept: until the request has arrived and is read.
+# Maximum lifetime of a reservation, which has to last until the request has
+# reached the target and has been parsed.
 MAX_RESERVATION_SECONDS = 1.0
-# Share of its objective for which a plain call waits for its turn at a target
-# in need; the target's work takes some of the rest.
+# Maximum wait of a non-streaming call for its turn at a rate-limited target,
+# as a fraction of its latency objective; the rest is left for processing.
 MAX_TURN_WAIT_FRACTION = 0.5
 
 
 class TargetAssigner:
     """Reserves room at the best target before a request is sent.
 
-    A request that is sent to a full target waits there, though another one
-    has room: what is known of loads is old by some tens of milliseconds, and
-    how long generations get is a guess. A reservation is refused at once,
-    and what is granted is admitted first and not preempted meanwhile.
+    Load reports are some tens of milliseconds old and output lengths are
+    estimates, so a request sent without a reservation may queue at a full
+    target while another one has room. A target answers a reservation at once;
+    a request with a reservation is admitted first and not preempted.
 
-    Without room requests wait here, not at a target: what was sent to one
-    that leaves is lost with it, and in a target's queue the late ones, whose
-    answers are worth little more, hold up those that came just now.
+    Requests that find no room wait in the gateway. In the queue of a target
+    they would be lost if it shut down, and requests that have already missed
+    their objective would delay newer ones.
 
-    :param chooser: orders the targets
-    :param health: learns which can't be reached
-    :param queues: what waits at all entries
-    :param calls: reaches targets
-    :param guard: knows what must not be sent
-    :param gate: knows what may be sent where
-    :param clock: monotonic time
-    :param log: decisions on requests
+    :param chooser: ranks the targets
+    :param health: tracks unreachable targets
+    :param queues: numbers of requests waiting at all entries
+    :param calls: sends reservations to targets
+    :param guard: tells which requests are held back
+    :param gate: tells what may be sent to which target
+    :param clock: source of monotonic time
+    :param log: receives assignment events
     """
 
     def __init__(
@@ -81,15 +83,16 @@
     async def find_assignment(
         self, plan: Plan, tried: set[str]
     ) -> Assignment | None:
-        """Pick a target, with room where that can be reserved.
+        """Choose a target, with a reservation if it supports them.
 
-        :param plan: the request's
-        :param tried: instances that must not be picked
-        :returns: the place; ``None`` when no target is left, or the request
-            must not be sent any more
-        :raises NoRoomError: when none had room for too long
-        :raises OverLimitError: when all are in need and take no more
-        :raises AllAtRestError: when all are at rest for too long
+        :param plan: the plan of the request
+        :param tried: instances that must not be chosen
+        :returns: the assignment; ``None`` if no target is left or the request
+            is held back
+        :raises NoRoomError: if no target had room before the wait limit
+        :raises OverLimitError: if all targets are rate-limited and can't
+            accept the request in time
+        :raises AllAtRestError: if all targets are backing off for too long
         """
         engine = plan.service.engine
         if plan.demand is None or engine is None or not engine.reserve_seconds:
@@ -117,11 +120,11 @@
     async def _await_backoffs(
         self, plan: Plan, ticket: QueueTicket | None = None
     ) -> None:
-        """Wait while all targets are at rest, if one is back soon enough.
+        """Wait while all targets back off, if one is available soon enough.
 
-        :param plan: the request's
-        :param ticket: shows that it waits
-        :raises AllAtRestError: when none is
+        :param plan: the plan of the request
+        :param ticket: counts the request as waiting
+        :raises AllAtRestError: if no target is available in time
         """
         service = plan.service.name
         while True:
@@ -136,7 +139,7 @@
             await self._clock.sleep(pause)
 
     def _compute_latest_start(self, plan: Plan) -> float:
-        """Return until when a request waits for targets that take nothing."""
+        """Return the latest time until which a request waits for a target."""
         share = (
             MAX_TURN_WAIT_FRACTION
             if plan.demand is None
@@ -148,8 +151,8 @@
     async def _assign_unreserved(
         self, plan: Plan, tried: set[str]
     ) -> Assignment | None:
-        # those that are avoided come once none of the others is left: they
-        # may have room, and the others may all be in need
+        # targets being avoided are ranked once no other is left: they may
+        # have room while all others are rate-limited
         while ranked := self._rank_targets(plan, tried):
             place = await self._permit_first(plan, ranked, tried)
             if place is not None:
@@ -162,13 +165,14 @@
     async def _permit_first(
         self, plan: Plan, ranked: list[Target], tried: set[str]
     ) -> Assignment | None:
-        """Pick the first target that may be sent to; note all before it."""
+        """Return the first target with a permit; add others to ``tried``."""
         limited = self._gate.find_rates(ranked)
         patient = len(limited) == len(ranked) and self._are_all_limited(plan)
         claim = self._make_claim(plan, patient)
         asked = 0
         for target in ranked:
-            # each question holds the request up, and all may be in need
+            # each permit request delays the caller's request, and all
+            # targets may be rate-limited
             left_out = (
                 target.instance in limited and asked >= MAX_TARGETS_PER_ROUND
             )
@@ -186,13 +190,14 @@
         return self._sum_rate_limits(plan) is not None
 
     def _sum_rate_limits(self, plan: Plan) -> float | None:
-        """Return the rate that all targets take together.
+        """Return the sum of the rate limits of all targets.
 
-        :returns: requests a second; ``None`` unless all of them are in need
+        :returns: requests per second; ``None`` unless every target is
+            rate-limited
         """
         if not self._gate.knows_limits:
             return None
-        # also those that are avoided for a moment: they name no limit
+        # includes targets being avoided, which announce no limit
         found = self._chooser.select(plan.service.name, plan.regions)
         rates = self._gate.find_rates(found)
         if not rates or len(rates) < len(found):
@@ -205,13 +210,14 @@
         return compute_rank(plan, self._classify_wait(plan))
 
     def _make_claim(self, plan: Plan, patient: bool) -> Claim:
-        """Build what decides about a request's turn at a target in need.
+        """Build the claim of a request for a turn at a rate-limited target.
 
-        A plain call waits for its turn as long as its answer may still come
-        in time. A generation asks again with each round.
+        A non-streaming call waits for its turn for a fraction of its latency
+        objective. A generation claims a turn again in each round.
 
-        :param plan: the request's
-        :param patient: whether it waits at all, as no other target is left
+        :param plan: the plan of the request
+        :param patient: whether to wait for the turn, as no target without a
+            rate limit is left
         """
         patience = 0.0
         if patient and plan.demand is None:
@@ -230,7 +236,7 @@
         if permit is None:
             return None
         if self._gate.find_rate(target) is not None:
-            # a reservation would come to it as one more request
+            # a reservation would count against its rate limit
             return Assignment(target, None, permit)
         reservation = await self._reserve(plan, target)
         if reservation is None:
@@ -238,17 +244,18 @@
         return Assignment(target, reservation, permit)
 
     def _check_rate_limits(self, plan: Plan) -> bool:
-        """Turn away what targets in need can't take before it is too late.
+        """Reject a request that rate-limited targets can't accept in time.
 
-        :returns: whether all targets are in need
-        :raises OverLimitError: when all are in need, and what goes before
-            the request takes them too long
+        :param plan: the plan of the request
+        :returns: whether all targets are rate-limited
+        :raises OverLimitError: if all targets are rate-limited and the
+            requests ahead use up their rate until the request's latest start
         """
         rate = self._sum_rate_limits(plan)
         if rate is None:
             return False
         now = self._clock.monotonic()
-        # those of its own rank go first, too: it has just come
+        # requests of its own rank are ahead as well: they came earlier
         rank = self._compute_rank(plan) + 1
         ahead = self._queues.ahead(plan.service.name, rank, now)
         seconds = self._compute_latest_start(plan) - now
@@ -265,7 +272,7 @@
     def _select_targets(
         self, plan: Plan, stage: WaitStage, tried: set[str]
     ) -> list[Target]:
-        """Pick the targets that are asked in this round."""
+        """Return the targets to ask for a reservation in this round."""
         if stage is not WaitStage.PRESSING and not self._has_spare_room(
             plan, stage
         ):
@@ -279,10 +286,11 @@
         return found[:MAX_TARGETS_PER_ROUND]
 
     def _has_spare_room(self, plan: Plan, stage: WaitStage) -> bool:
-        """Tell whether there is room beside all that goes first.
+        """Return whether there is room besides that for requests ahead.
 
-        Generations whose target leaves go before all that wait: without a
-        place within the notice they are lost, with all that was read.
+        Generations on targets that are leaving go before waiting requests:
+        unless they are moved within the notice period, they are lost and
+        their prompts have to be processed again.
         """
         service = plan.service
         now = self._clock.monotonic()
@@ -314,7 +322,8 @@
         try:
             return await self._calls.reserve(target, plan.demand.soon, seconds)
         except NotPermittedError:
-            # it was permitted a moment ago, and says nothing of the target
+            # the permission was withdrawn meanwhile, which is no failure of
+            # the target
             return None
         except NotSentError as error:
             self._chooser.avoid(target.instance)
--- a/packages/gateway/src/chivepier/gateway/serving/waitstage.py
+++ b/packages/gateway/src/chivepier/gateway/serving/waitstage.py
@@ -1,29 +1,30 @@
-"""Where a request stands among those that wait for room."""
+"""Stages and ranks of requests that wait for room."""
 
 import enum
 
 from chivepier.gateway.serving.plan import Plan
 
-# Share of its objective for which a request leaves the room to what goes
-# before it.
+# Fraction of its latency objective for which a request leaves free room to the
+# requests ahead of it.
 EARLY_FRACTION = 0.5
-# Share of its objective after which the first event can't come in time, what
-# its prompt takes to be read included.
+# Fraction of its objective, including the processing of its prompt, after
+# which a request can no longer get its first event in time.
 LATE_FRACTION = 1.0
-# Objectives after which a request is refused, before its caller leaves.
+# Multiple of its objective after which a request is rejected, before its
+# caller gives up.
 MAX_WAIT_OBJECTIVES = 3.0
-# Share of its objective that a request must have left of its time.
+# Minimum time left before its deadline, as a fraction of its objective.
 MIN_TIME_LEFT_FRACTION = 0.25
-# Ranks of requests that are late come after all others.
+# Added to the ranks of late requests, which come after all others.
 LATE_RANK_OFFSET = 10
 
 
 class WaitStage(enum.Enum):
-    """How long a request has waited, by its objective.
+    """How long a request has waited, relative to its latency objective.
 
-    ``EARLY`` ones can still wait for a good place, ``PRESSING`` ones take
-    any place that is free now, ``LATE`` ones let all others go first, as
-    their callers' answers are late already. ``OVER`` ones are refused.
+    ``EARLY`` requests leave free room to the requests ahead of them,
+    ``PRESSING`` ones take any free room, ``LATE`` ones, which miss their
+    objective anyway, let all others go first, and ``OVER`` ones are rejected.
     """
 
     EARLY = "early"
@@ -33,11 +34,11 @@
 
 
 def classify_wait(plan: Plan, now: float, reading: float = 0.0) -> WaitStage:
-    """Tell how long a request has waited.
+    """Return the wait stage of a request.
 
-    :param plan: the request's
-    :param now: monotonic seconds
-    :param reading: seconds that its prompt takes to be read
+    :param plan: the plan of the request
+    :param now: current monotonic time in seconds
+    :param reading: expected seconds to process its prompt
     """
     waited = (now - plan.request.arrived) / plan.route.objective
     left = (plan.deadline - now) / plan.route.objective
@@ -53,10 +54,10 @@
 
 
 def compute_rank(plan: Plan, stage: WaitStage) -> int:
-    """Return a request's place in the order; the lowest goes first.
+    """Return the queue rank of a request; the lowest goes first.
 
-    :param plan: the request's
-    :param stage: how long it has waited
+    :param plan: the plan of the request
+    :param stage: its wait stage
     """
     late = stage in (WaitStage.LATE, WaitStage.OVER)
     return plan.urgency + (LATE_RANK_OFFSET if late else 0)
