--- a/packages/gateway/src/chivepier/gateway/serving/tests/fakeengines.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/fakeengines.py
@@ -1,4 +1,4 @@
-"""Engines in one process that run, copy and resume generations."""
+"""In-process fake engines that run, copy and resume generations."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 
 @attrs.define(eq=False)
 class FakeAnswer:
-    """The stream of one run; its events are made when the test says."""
+    """The answer stream of one run, whose events the test creates."""
 
     target: str
     request_id: str
@@ -32,7 +32,7 @@
     _queue: asyncio.Queue = attrs.field(factory=asyncio.Queue)
 
     def make(self, count: int = 1, text: str = "") -> None:
-        """Make events; what follows the last one's end comes with it."""
+        """Send events, followed by raw text such as a partial event."""
         for _ in range(count):
             self.number += 1
             data = f"id: {self.number}\ndata: {self.number}\n\n"
@@ -41,11 +41,11 @@
             self._queue.put_nowait(text.encode())
 
     def end(self) -> None:
-        """End the stream as whole."""
+        """End the stream as complete."""
         self._queue.put_nowait(b"")
 
     def cut(self) -> None:
-        """Break the stream off."""
+        """Break the connection of the stream."""
         self._queue.put_nowait(None)
 
     async def read(self) -> bytes:
@@ -56,22 +56,24 @@
         return data
 
     def close(self) -> None:
-        """Note that the reader has left."""
+        """Record that the reader closed the stream."""
         self.closed = True
 
     def release(self) -> None:
-        """Nothing is kept."""
+        """Do nothing: there is no connection to return."""
 
 
 class FakeEngines:
-    """A port to targets whose behaviour a test sets.
-
-    ``refuse`` names targets that say they did not run a request, ``lose``
-    those that break the connection instead of an answer, ``dark`` those
-    that can't be reached, ``ended`` those where nothing listens any more;
-    ``copies`` holds what may be gone on from; ``facts`` is what answers say,
-    ``refusal`` what refusals do, ``full_facts`` those of reservations; no
-    answer comes before ``heads`` is set.
+    """A target port whose behaviour the test configures.
+
+    These sets hold instances: ``refuse`` answer that they did not run the
+    request, ``lose`` break the connection instead of answering, ``dark`` are
+    unreachable, ``wrong`` answer as another instance, ``full`` have no room,
+    and ``ended`` no longer listen. ``failing`` maps instances to the status
+    that they answer with. ``copies`` holds the memory that can be continued
+    from. ``facts``, ``refusal`` and ``full_facts`` are the facts in the heads
+    of answers, refusals and refused reservations. No answer is returned
+    before ``heads`` is set.
     """
 
     def __init__(self) -> None:
@@ -100,7 +102,7 @@
         self.moved = asyncio.Event()
 
     async def send(self, target, request, order, contact) -> FakeAnswer:
-        """Run a request, or go on from a copy."""
+        """Run a request, or continue it from a copy."""
         name = target.instance
         if name in self.dark:
             raise NotSentError("refused")
@@ -130,7 +132,7 @@
         return answer
 
     async def reserve(self, target, tokens, seconds, contact) -> str | None:
-        """Reserve room at a target that is not full."""
+        """Reserve room at a target unless it is full."""
         if target.instance in self.dark:
             raise NotSentError("refused")
         contact.begin()
@@ -171,9 +173,10 @@
         return MoveResult(MoveOutcome.COPIED, handle)
 
     def at_stop(self, act) -> None:
-        """Let something happen as an order to stop for the last copy comes.
+        """Call a function when a run is ordered to stop for its last copy.
 
-        :param act: returns the answer to it, or nothing for the usual one
+        :param act: returns the result of the order, or ``None`` for the
+            default behaviour
         """
         move = self.move
 
@@ -186,11 +189,11 @@
         self.move = move_then
 
     def hang_up(self, target) -> None:
-        """Note that kept connections were ended."""
+        """Record that the idle connections to a target were closed."""
         self.hung_up.append(target.instance)
 
     async def probe(self, target) -> Liveness:
-        """Tell whether a target has ended."""
+        """Return whether a target has ended."""
         self.probed.append(target.instance)
         ended = target.instance in self.ended
         return Liveness.ENDED if ended else Liveness.LIVES
@@ -203,7 +206,7 @@
         return True
 
     def hold_connection(self, instance: str) -> asyncio.Event:
-        """Let connections to a target stand only once an event is set."""
+        """Delay connections to a target until the returned event is set."""
         send, stands = self.send, asyncio.Event()
 
         async def send_late(target, *args):
@@ -215,14 +218,14 @@
         return stands
 
     def find(self, instance: str) -> FakeAnswer | None:
-        """Return the newest run of a target that is still read."""
+        """Return the newest run of a target whose stream is open."""
         for answer in reversed(self.answers):
             if answer.target == instance and not answer.closed:
                 return answer
         return None
 
     async def wait_run(self, count: int) -> FakeAnswer:
-        """Wait until so many runs have begun, and return the last."""
+        """Wait until ``count`` runs have started, and return the last."""
         while len(self.answers) < count:
             self.sent.clear()
             await self.sent.wait()
@@ -230,7 +233,7 @@
 
 
 class FakeCaller:
-    """Keeps what a caller gets."""
+    """Records what a caller receives."""
 
     def __init__(self) -> None:
         self.status: int | None = None
@@ -241,38 +244,38 @@
         self.changed = asyncio.Event()
 
     async def begin(self, status, headers, length) -> None:
-        """Take the head."""
+        """Record the head of the answer."""
         assert self.status is None
         self.status, self.headers = status, headers
 
     async def write(self, data) -> None:
-        """Take a part."""
+        """Record a part of the body."""
         self.data += data
         self.changed.set()
 
     async def finish(self) -> None:
-        """Take the end."""
+        """Record the end of the answer."""
         self.finished = True
 
     def abort(self) -> None:
-        """Take the cut."""
+        """Record that the connection was aborted."""
         self.aborted = True
 
     @property
     def numbers(self) -> list[int]:
-        """The numbers of the events, in the order they came."""
+        """The ids of the received events, in order."""
         lines = self.data.decode().split("\n")
         return [int(line[4:]) for line in lines if line.startswith("id: ")]
 
     async def wait_events(self, count: int) -> None:
-        """Wait until so many events have come."""
+        """Wait until ``count`` events have been received."""
         while len(self.numbers) < count:
             self.changed.clear()
             await self.changed.wait()
 
 
 def make_target(name: str, service: str = "llm", zone: str = "a") -> Target:
-    """Make a target that is ready."""
+    """Create a ready target."""
     return Target(
         instance=name,
         service=service,
--- a/packages/gateway/src/chivepier/gateway/serving/tests/parts.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/parts.py
@@ -1,4 +1,4 @@
-"""An entry without a network: everything between caller and target."""
+"""An entry without a network, for tests of request handling."""
 
 import asyncio
 import json
@@ -76,7 +76,7 @@
 
 
 def make_route(**changes) -> Route:
-    """Make a route of streams that may run once."""
+    """Create a route of streams that may run only once."""
     fields = {
         "name": "r",
         "host": "h.example",
@@ -119,10 +119,10 @@
 
 
 class Parts:
-    """Parts of an entry, put together over fake engines.
+    """The components of an entry, connected to fake engines.
 
-    :param names: targets of both services
-    :param engine: what the model-serving targets can do
+    :param names: names of targets; the service ``web`` gets them as ``w-…``
+    :param engine: engine settings of the service ``llm``
     """
 
     def __init__(self, *names: str, engine: Engine = ENGINE):
@@ -247,7 +247,7 @@
         return PermitAnswer(granted, self.turn.wait)
 
     def name_limit(self, name: str, rate: float | None) -> None:
-        """Let a target name a limit, or none any more, to another entry."""
+        """Set the rate limit that a target announced to another entry."""
         word = self.limits.find(name, 0)
         self.limits.put(
             LimitWord(
@@ -261,15 +261,15 @@
         )
 
     def evacuate(self, zone: str, index: int = 1) -> None:
-        """Let an operator's order about a zone come into force."""
+        """Put an operator's evacuation of a zone into force."""
         self.zones.put(ZoneOrder(zone, index, True, tell_time()))
 
     def readmit(self, zone: str, index: int = 2) -> None:
-        """Let a zone be taken back."""
+        """End the evacuation of a zone."""
         self.zones.put(ZoneOrder(zone, index, False, tell_time()))
 
     def configure(self, engine: Engine = ENGINE, **changes) -> None:
-        """Put a configuration in force."""
+        """Activate a configuration."""
         fields = {
             "version": 1,
             "routes": ROUTES,
@@ -283,11 +283,11 @@
         self.state.adopt(index)
 
     def make_team(self, name: str, key: str) -> Team:
-        """Make a team with one key."""
+        """Create a team with one API key."""
         return Team(name=name, keys=(key,), urgency=3)
 
     def hold_back(self, request: CallerRequest) -> None:
-        """Let three targets of another entry have ended under a request."""
+        """Record that three targets of another entry ended under a request."""
         digest = self.planner.plan(request).digest
         now = tell_time()
         self.quarantine.take(
@@ -300,7 +300,7 @@
         let_through: CallerRequest | None = None,
         keep_out: CallerRequest | None = None,
     ) -> None:
-        """Let an operator decide about requests."""
+        """Set an operator's overrides for requests."""
         heads = [
             (shorten(self.planner.plan(request).digest),) if request else ()
             for request in (let_through, keep_out)
@@ -308,20 +308,20 @@
         self.quarantine.orders = Orders(*heads)
 
     def leave(self, name: str) -> None:
-        """Let a target say that it leaves."""
+        """Announce that a target is leaving."""
         target = make_target(name)
         target.state = TargetState.LEAVING
         target.number = 2
         self.table.put(target)
 
     def restart(self, name: str, born: int) -> None:
-        """Let a target start again under its name."""
+        """Announce a restart of a target under the same name."""
         target = make_target(name)
         target.born = born
         self.table.put(target)
 
     def say_copying(self, entry: str, name: str, milliseconds: int) -> None:
-        """Let another entry copy off a target for so long, or end with 0."""
+        """Report copies of another entry off a target; 0 ends them."""
         copying = milliseconds > 0
         record = LoadRecord(entry, name, 1, 0, 0, milliseconds, copying)
         self.board.put(record, tell_time())
@@ -329,31 +329,31 @@
     def say_waiting(
         self, entry: str, service: str, rank: int, waiting: int
     ) -> None:
-        """Let so many requests of a rank wait at another entry."""
+        """Report the number of requests of a rank waiting at another entry."""
         record = QueueRecord(entry, service, rank, waiting)
         self.queues.put(record, tell_time())
 
     def read_lines(self, event: str) -> list[dict]:
-        """Return the lines of the log about one kind of event."""
+        """Return the log lines of one event."""
         self._lines.seek(0)
         lines = [json.loads(line) for line in self._lines]
         return [line for line in lines if line["event"] == event]
 
     async def serve(self, request: CallerRequest) -> FakeCaller:
-        """Serve a request to its end."""
+        """Handle a request to its end."""
         caller = FakeCaller()
         await self.serving.serve(request, caller)
         return caller
 
     def start(self, request: CallerRequest):
-        """Serve a request in a task of its own."""
+        """Handle a request in a new task."""
         caller = FakeCaller()
         work = self.serving.serve(request, caller)
         return caller, asyncio.create_task(work)
 
 
 def make_request(path: str = "/llm/x", **changes) -> CallerRequest:
-    """Make a request with a prompt where its path is one of streams."""
+    """Create a request, with a prompt if its path is that of a stream."""
     now = tell_time()
     streams = not path.startswith(("/plain/", "/read/"))
     fields = {
@@ -373,16 +373,16 @@
 
 
 async def fail(parts: Parts, request: CallerRequest) -> Failure:
-    """Serve a request that must fail, and return how it did."""
+    """Handle a request that must fail, and return its failure."""
     with pytest.raises(RequestError) as caught:
         await parts.serve(request)
     return caught.value.failure
 
 
 async def begin(parts: Parts, path: str = "/llm/x", events: int = 2):
-    """Start a stream and let it make events that reach the caller.
+    """Start a stream and relay its first events to the caller.
 
-    :returns: the caller, the task that serves it, and the run
+    :returns: the caller, the task that handles the request, and the run
     """
     caller, task = parts.start(make_request(path))
     run = await parts.engines.wait_run(1)
@@ -392,20 +392,20 @@
 
 
 async def finish(task: asyncio.Task, run: FakeAnswer, events: int = 0) -> None:
-    """Let a run make its last events and end, and its caller be served."""
+    """Send the last events of a run, end it and await its task."""
     run.make(events)
     run.end()
     await task
 
 
 async def wait_until(condition) -> None:
-    """Return once a condition holds; the test's own limit ends it else."""
+    """Wait for a condition; the timeout of the test bounds the wait."""
     while not condition():
         await asyncio.sleep(0.01)
 
 
 def play(test, *names: str, **options) -> None:
-    """Run a test's coroutine over these parts, within ten played seconds."""
+    """Run a test coroutine, for at most ten seconds of simulated time."""
 
     async def work():
         async with asyncio.timeout(10):
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_leaving.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""Tests of targets that say in their answers that they leave."""
+"""Tests of targets that announce in an answer that they are leaving."""
 
 import asyncio
 
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_moving.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_moving.py
@@ -1,4 +1,4 @@
-"""Tests of streams whose target leaves, dies or breaks off."""
+"""Tests of streams whose target leaves, fails or disconnects."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 
 
 def test_stream_of_a_leaving_target_goes_on_as_one_series():
-    # A stream is lost, doubled or torn as its target leaves.
+    # Events must not be lost, duplicated or truncated by a move.
     async def test(parts):
         caller, task, run = await begin(parts)
         parts.leave(run.target)
@@ -42,8 +42,8 @@
 
 
 def test_torn_event_is_not_passed_on():
-    # The caller got half an event, followed by the next target's whole one.
-    # The source stops in the middle of an event when it is moved.
+    # A source may stop in the middle of an event. The caller must not get the
+    # partial event, followed by the complete one of the next target.
     async def test(parts):
         caller, task, run = await begin(parts)
         run.make(0, "id: 3\nda")
@@ -70,8 +70,8 @@
 
 
 def test_runs_of_a_leaving_target_do_not_all_go_to_one():
-    # All runs of a leaving target chose the one that had been the emptiest
-    # before, and filled it. A place is booked while memory is copied.
+    # Load must be booked at the destination during a copy. Otherwise all runs
+    # of a leaving target choose the same least-loaded destination and fill it.
     async def test(parts):
         caller, task, run = await begin(parts)
         started = asyncio.Event()
@@ -98,8 +98,8 @@
 
 
 def test_room_is_looked_for_as_long_as_the_notice_lasts():
-    # Streams were cut with over a second of their target's notice to go:
-    # the others had been full for some milliseconds, and nobody asked again.
+    # Destinations may be full for just some milliseconds. If the search is not
+    # repeated, streams are cut with more than a second of notice left.
     async def test(parts):
         caller, task, run = await begin(parts)
         parts.engines.full = {"a", "b", "c"} - {run.target}
@@ -114,7 +114,7 @@
 
 
 def test_nothing_is_kept_of_a_target_whose_last_run_has_ended():
-    # What an entry keeps of targets that have gone would pile up.
+    # Guards against a leak: state of targets that are gone must be deleted.
     async def test(parts):
         streams = []
         for number in (1, 2):
@@ -136,8 +136,8 @@
 
 
 def test_one_generation_at_a_time_is_copied_off_a_target():
-    # Short second copies waited behind long first ones, with their runs
-    # stopped.
+    # If copies are made at once, the short second copies of stopped runs wait
+    # behind the long first copies of others.
     async def test(parts):
         caller, task, run = await begin(parts)
         parts.say_copying("z-last", run.target, milliseconds=600)
@@ -163,8 +163,8 @@
 
 
 def test_run_that_has_not_begun_is_moved_when_it_begins():
-    # Streams were cut that waited at their target when it said it leaves:
-    # there was nothing to copy yet, and nobody asked again.
+    # A run that is queued when its target starts to leave has no memory to
+    # copy yet. If the move is not retried, its stream is cut.
     async def test(parts):
         caller, task = parts.start(make_request())
         run = await parts.engines.wait_run(1)
@@ -181,7 +181,7 @@
 
 
 def test_run_that_broke_before_its_first_event_is_not_moved_any_more():
-    # Copies of a run that had broken were asked for until the entry ended.
+    # Otherwise copies of the lost run are ordered until the entry ends.
     async def test(parts):
         caller, task = parts.start(make_request())
         run = await parts.engines.wait_run(1)
@@ -233,8 +233,8 @@
 
 
 def test_caller_that_leaves_ends_the_run_and_its_move():
-    # A target went on with a run for a caller that had gone: its stream is
-    # closed, nothing is sent anywhere, and its place is free again.
+    # Otherwise a target goes on running for a caller that has disconnected.
+    # The stream is closed, nothing more is sent, and its load is freed.
     async def test(parts):
         caller, task, run = await begin(parts)
         parts.leave(run.target)
@@ -261,7 +261,8 @@
 
 
 def test_stream_of_a_target_that_starts_again_is_ended_at_once():
-    # A stream stood still after its target had started again behind a cut.
+    # If the network was cut during the restart, the old connection stays open
+    # without data, and the stream would hang.
     async def test(parts):
         caller, task, run = await begin(parts)
         parts.restart(run.target, born=200)
@@ -273,8 +274,8 @@
 
 
 def test_resumable_stream_goes_on_when_its_target_starts_again():
-    # The same, where the route allows a second run: it goes on elsewhere
-    # after the last event, without waiting until the target counts as dark.
+    # As above, on a route that allows a second run: it continues elsewhere
+    # after the last event, without waiting until the target is unreachable.
     async def test(parts):
         caller, task, run = await begin(parts, "/resume/x")
         parts.restart(run.target, born=200)
@@ -287,8 +288,8 @@
 
 
 def test_request_that_waits_for_a_target_that_starts_again_is_answered():
-    # A request was sent, and its target started again before the first event:
-    # the caller waited to its deadline. It may have run: no promise is made.
+    # The target restarts before the first event: the caller must not wait until
+    # its deadline. The request may have run, so its outcome is unknown.
     async def test(parts):
         caller, task = parts.start(make_request())
         run = await parts.engines.wait_run(1)
@@ -301,8 +302,8 @@
 
 
 def test_target_that_starts_again_is_not_avoided_for_its_earlier_life():
-    # A run that was lost with the earlier life made the target avoided for
-    # half a second though it had just started, with all its memory free.
+    # A run lost with the previous process must not cause the new one, with all
+    # its memory free, to be avoided for half a second.
     async def test(parts):
         caller, task = parts.start(make_request())
         run = await parts.engines.wait_run(1)
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_retryafterscheduler.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_retryafterscheduler.py
@@ -1,4 +1,4 @@
-"""Tests of when callers that were refused may come back."""
+"""Tests of the retry delays of rejected callers."""
 
 import random
 
@@ -27,7 +27,7 @@
     told = [returns.schedule("s", RATE, ENTRIES, 0.0) for _ in range(500)]
     assert max(told) <= MAX_DELAY_SECONDS
     late = told[100:]
-    # spread all the same
+    # still spread out
     assert min(late) >= MAX_DELAY_SECONDS / 2
     assert max(late) - min(late) > MAX_DELAY_SECONDS / 4
 
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_retrybudget.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_retrybudget.py
@@ -1,4 +1,4 @@
-"""Tests of repeats within a budget that all entries share."""
+"""Tests of the budget of repeats that all entries share."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 
 class Fleet:
-    """Budgets of entries that are told of each other each quarter second."""
+    """Budgets of entries that exchange their loans every 0.25 s."""
 
     def __init__(self, entries: int):
         self.now = 0.0
@@ -20,7 +20,7 @@
         self.exchange()
 
     def exchange(self) -> None:
-        """Let every entry know what all have borrowed."""
+        """Send the loans of all entries to every entry."""
         told: tuple[RepeatRecord, ...] = ()
         for budget in self.budgets:
             told += tuple(r for r in budget.list_loans(self.now) if r.used)
@@ -28,12 +28,12 @@
             budget.update_peer_loans(told, True, self.now)
 
     def take(self, number: int) -> bool:
-        """Let one entry ask for a repeat."""
+        """Request a repeat at one entry."""
         budget = self.budgets[number]
         return budget.take("s", self.now, len(self.budgets))
 
     def play(self, asking: range, seconds: float) -> int:
-        """Count what entries get that ask four times a second."""
+        """Count the repeats granted to entries that ask every 0.25 s."""
         taken = 0
         for _ in range(int(seconds * 4)):
             taken += sum(self.take(number) for number in asking)
@@ -44,15 +44,15 @@
 
 @pytest.mark.parametrize("entries", [1, 8, 191])
 def test_callers_of_one_entry_get_repeats_in_a_fleet_of_any_size(entries):
-    # In a large fleet, the equal part of one entry spared its callers no
-    # failure.
+    # With many entries, an equal part of the allowance is too small for an
+    # entry to hide any failure from its callers.
     assert Fleet(entries).play(range(1), 9.0) == 36
 
 
 @pytest.mark.parametrize("entries", [1, 8, 191])
 def test_all_entries_together_stay_within_the_budget(entries):
-    # Every target fails everything: what all entries send again would double
-    # the load of targets that can't bear it.
+    # If every target fails every request, unlimited repeats would double the
+    # load of targets that are already overloaded.
     fleet = Fleet(entries)
     assert fleet.play(range(entries), 9.0) <= EXTRA
 
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_targetassigner.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_targetassigner.py
@@ -17,7 +17,7 @@
 
 
 async def serve_one(parts, **changes):
-    """Serve a stream of one event, and return the order it was sent by."""
+    """Serve a stream of one event; return its target and send order."""
     caller, task = parts.start(make_request(**changes))
     answer = await parts.engines.wait_run(1)
     answer.make()
@@ -28,8 +28,8 @@
 
 
 def test_request_goes_where_room_was_reserved():
-    # Requests waited at a full target though another one had room: loads
-    # are known with a delay. A full target says so at once.
+    # Load reports are delayed, so without reservations requests queue at a
+    # full target while another one has room.
     async def test(parts):
         parts.engines.full = {"a", "b"}
         name, order = await serve_one(parts)
@@ -49,7 +49,7 @@
 
 
 def test_without_room_anywhere_the_request_waits_here():
-    # What waits in the queue of a target that leaves is lost with it.
+    # Requests in the queue of a target are lost if it leaves.
     async def test(parts):
         parts.engines.full = {"a", "b"}
         caller, task = parts.start(make_request())
@@ -67,8 +67,8 @@
 
 
 def test_request_that_no_target_takes_is_refused_in_time():
-    # Callers leave after four objectives. One that is told after three that
-    # nothing ran, and when to come back, finds the rush over.
+    # Callers give up after four objectives. A rejection after three, which
+    # says that nothing ran and gives a retry delay, lets them retry later.
     async def test(parts):
         parts.engines.full = {"a", "b"}
         arrived = make_request().arrived - 2.95
@@ -84,8 +84,8 @@
 
 
 def test_request_whose_time_runs_out_is_refused_before():
-    # A caller that comes back after a refusal has little time left. Told
-    # after its deadline that nothing ran, it has gone by then.
+    # A retrying caller has little time left. A rejection after its deadline
+    # would not reach it any more.
     async def test(parts):
         parts.engines.full = {"a", "b"}
         deadline = make_request().arrived + 0.3
@@ -100,20 +100,21 @@
 
 
 def test_late_request_lets_those_in_time_go_first():
-    # Late requests, served in their order, made all later ones late.
+    # If late requests are served in order of arrival, all later ones become
+    # late as well.
     await_turn(waited=1.5)
 
 
 def test_request_whose_prompt_is_read_too_late_lets_others_go_first():
-    # Requests that could only be late held up those that had just come.
+    # Requests that will miss their objective anyway must not delay new ones.
     await_turn(waited=0.7, reading=0.4)
 
 
 def await_turn(waited: float, reading: float = 0.0) -> None:
-    """Check that a late request leaves the last place to another one.
+    """Check that a late request leaves the last free room to another one.
 
-    :param waited: seconds since it arrived, of an objective of one
-    :param reading: seconds that its prompt takes to be read
+    :param waited: seconds since its arrival; its objective is one second
+    :param reading: seconds to process its prompt
     """
 
     async def test(parts):
@@ -135,8 +136,8 @@
 
 
 def test_generations_of_a_leaving_target_go_before_new_ones():
-    # New requests took the room that generations of a leaving target needed
-    # within its notice, and those were cut off.
+    # Otherwise new requests take the room that generations of a leaving target
+    # need within its notice period, and those are cut off.
     async def test(parts):
         parts.board.change("a", tokens=100_000 - 400)
         parts.board.change("b", runs=1, tokens=300)
@@ -162,7 +163,8 @@
 
 
 def test_prompts_that_come_at_once_are_not_all_read_at_one_target():
-    # The only target with room read all prompts, one after the other.
+    # Otherwise the only target with room gets all prompts and processes them
+    # one after the other.
     async def test(parts):
         parts.dispatcher.chooser.pace.note("llm", 1_000, 2.0)
         started = [parts.start(make_request(id=f"r{n}")) for n in range(5)]
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_zonerules.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_zonerules.py
@@ -1,4 +1,4 @@
-"""Tests of what is sent to evacuated zones, cold targets and regions."""
+"""Tests of sends to evacuated zones, cold targets and regions."""
 
 import asyncio
 
@@ -36,7 +36,7 @@
 
 
 def put(parts, name: str, zone: str, service: str = "llm", **fields) -> None:
-    """Let a target of a zone announce itself."""
+    """Announce a target in a zone."""
     target = make_target(name, service, zone)
     for field, value in fields.items():
         setattr(target, field, value)
@@ -44,13 +44,13 @@
 
 
 def sent_to(parts) -> set[str]:
-    """Name the targets that anything was sent to."""
+    """Return the names of all targets that requests were sent to."""
     return {name for name, _ in parts.engines.orders}
 
 
 def test_nothing_new_goes_to_an_evacuated_zone():
-    # An operator empties a zone; calls and generations of the next seconds
-    # go to the other zone's targets only.
+    # After an evacuation, new calls and generations must go to targets in the
+    # other zone only.
     async def test(parts):
         for name, zone in (("a1", "a"), ("b1", "b")):
             put(parts, name, zone)
@@ -69,8 +69,8 @@
 
 
 def test_no_repeat_goes_to_an_evacuated_zone():
-    # The first target breaks the connection. The only other one lies in a
-    # zone that was evacuated meanwhile: the caller is told that it failed.
+    # The first target breaks the connection, and the only other one is in a
+    # zone evacuated meanwhile: the caller must get an error.
     async def test(parts):
         put(parts, "w-a1", "a", "web")
         put(parts, "w-b1", "b", "web")
@@ -84,8 +84,8 @@
 
 
 def test_caller_is_told_at_once_where_every_zone_is_evacuated():
-    # Without a word, callers waited for room that no target could give, up
-    # to their deadline.
+    # Otherwise callers wait until their deadline for room that no target can
+    # provide.
     async def test(parts):
         put(parts, "a1", "a")
         parts.evacuate("a")
@@ -120,7 +120,7 @@
 
 
 def test_reservation_in_a_zone_evacuated_meanwhile_is_not_used():
-    # The order came between the reservation and the send.
+    # The evacuation comes between the reservation and the send.
     async def test(parts):
         put(parts, "a1", "a")
         reserve = parts.engines.reserve
@@ -142,7 +142,7 @@
 
 
 def test_stream_in_an_evacuated_zone_runs_to_its_end():
-    # The order is about what is new: what runs there is not cut off.
+    # An evacuation concerns new requests only; running streams are not cut.
     async def test(parts):
         put(parts, "a1", "a")
         caller, task, run = await begin(parts)
@@ -160,7 +160,7 @@
         parts.evacuate("b")
         _, task, run = await begin(parts)
         parts.leave("a1")
-        # looks for a place every 0.1 s until one is there
+        # a destination is searched every 0.1 s until there is one
         put(parts, "c1", "c")
         await parts.engines.moved.wait()
         await parts.engines.wait_run(2)
@@ -171,8 +171,8 @@
 
 
 def test_generation_goes_on_at_its_source_where_its_copy_must_not():
-    # Its copy lay in a zone that was evacuated while the entry could not
-    # hear of it; the source was stopped for the move and keeps the memory.
+    # The copy is in a zone whose evacuation this entry learns of late. The
+    # source was stopped for the move, but still has the memory.
     async def test(parts):
         put(parts, "a1", "a")
         put(parts, "b1", "b")
@@ -221,8 +221,8 @@
 
 
 def test_cold_target_gets_nothing_without_leave():
-    # Entries that had lost the leader went on sending; all together, they
-    # sent a target that had just started more than it bears.
+    # If entries without a leader send without a permit, together they exceed
+    # the rate that a target that has just started can handle.
     async def test(parts):
         parts.configure(version=2, services=SERVICES)
         later = tell_time() + 60.0
@@ -231,7 +231,7 @@
         failure = await fail(parts, make_request("/plain/x"))
         assert failure.kind is ErrorKind.NO_TARGET and failure.ran is Ran.NO
         assert not parts.engines.orders
-        # the bound of all entries: 10 a second, by half more, and 5
+        # the bound of all entries: 10 per second, times 1.5, plus 5
         assert parts.asked[0] == ("w-cold", 20)
         put(parts, "w-warm", "a", "web")
         parts.engines.failing["w-warm"] = 200
@@ -242,7 +242,8 @@
 
 
 def test_requests_do_not_each_wait_for_a_leader_that_does_not_answer():
-    # Each request waited for a leader that did not answer.
+    # Requests must not each wait for a leader that does not answer: after the
+    # first one, the others are rejected without asking it.
     async def test(parts):
         parts.configure(version=2, services=SERVICES)
         later = tell_time() + 60.0
@@ -315,7 +316,7 @@
 
 
 def test_route_and_team_both_bind_to_regions():
-    # A body reached a region that its team's rules keep it out of.
+    # A request must not reach a region that its route or team excludes.
     async def test(parts):
         routes = (
             make_route(regions=frozenset({"north", "south"})),
@@ -330,13 +331,13 @@
         put(parts, "w-n1", "a", "web")
         failure = await fail(parts, make_request("/llm/x"))
         assert failure.kind is ErrorKind.NO_TARGET and failure.ran is Ran.NO
-        # the team binds where the route does not
+        # the regions of the team apply where the route has none
         failure = await fail(parts, make_request("/plain/x"))
         assert failure.kind is ErrorKind.NO_TARGET
         put(parts, "s1", "c")
         _, task, run = await begin(parts)
         assert run.target == "s1"
-        # a move would carry it elsewhere as well
+        # nor may a move carry it to another region
         put(parts, "n2", "b")
         leaving = make_target("s1", zone="c")
         leaving.state, leaving.number = TargetState.LEAVING, 2
@@ -349,7 +350,8 @@
 
 
 def test_entry_that_stood_still_asks_before_it_sends():
-    # An entry that stood still sent to a zone that was evacuated meanwhile.
+    # An entry that was suspended must not send to a zone that was evacuated
+    # meanwhile.
     async def test(parts):
         put(parts, "a1", "a")
         put(parts, "b1", "b")
