--- a/packages/gateway/src/chivepier/gateway/serving/tests/fakeengines.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/fakeengines.py
@@ -67,10 +67,10 @@
     """A target port whose behaviour the test configures.
 
     These sets hold instances: ``refuse`` answer that they did not run the
-    request, ``lose`` break the connection instead of answering, ``dark`` are
-    unreachable, ``wrong`` answer as another instance, ``full`` have no room,
-    and ``ended`` no longer listen. ``failing`` maps instances to the status
-    that they answer with. ``copies`` holds the memory that can be continued
+    request, ``disconnecting`` do so instead of answering, ``unreachable``
+    can't be connected to, ``misaddressed`` answer as another instance,
+    ``full`` have no room, and ``ended`` no longer listen. ``failing`` maps
+    instances to the status that they answer with. ``copies`` holds the memory that can be continued
     from. ``facts``, ``refusal`` and ``full_facts`` are the facts in the heads
     of answers, refusals and refused reservations. No answer is returned
     before ``heads`` is set.
@@ -82,9 +82,9 @@
         self.moves: list[tuple[str, str, bool]] = []
         self.refuse: set[str] = set()
         self.reserved: list[tuple[str, int]] = []
-        self.lose: set[str] = set()
-        self.dark: set[str] = set()
-        self.wrong: set[str] = set()
+        self.disconnecting: set[str] = set()
+        self.unreachable: set[str] = set()
+        self.misaddressed: set[str] = set()
         self.full: set[str] = set()
         self.failing: dict[str, int] = {}
         self.copies: set[tuple[str, str]] = set()
@@ -95,7 +95,7 @@
         self.facts = AnswerFacts()
         self.refusal = AnswerFacts(not_run=True)
         self.full_facts = AnswerFacts(limit=None)
-        self.asked_room: list[str] = []
+        self.reserve_attempts: list[str] = []
         self.sent = asyncio.Event()
         self.heads = asyncio.Event()
         self.heads.set()
@@ -104,16 +104,16 @@
     async def send(self, target, request, order, contact) -> FakeAnswer:
         """Run a request, or continue it from a copy."""
         name = target.instance
-        if name in self.dark:
+        if name in self.unreachable:
             raise NotSentError("refused")
         contact.begin()
         answer = FakeAnswer(
             name, request.id, int(order.after_event or 0), facts=self.facts
         )
         self.orders.append((name, order))
-        if name in self.lose:
+        if name in self.disconnecting:
             raise LostError("reset")
-        if name in self.wrong:
+        if name in self.misaddressed:
             answer.facts = AnswerFacts(other_instance="other")
             answer.status = 421
             answer.end()
@@ -133,10 +133,10 @@
 
     async def reserve(self, target, tokens, seconds, contact) -> str | None:
         """Reserve room at a target unless it is full."""
-        if target.instance in self.dark:
+        if target.instance in self.unreachable:
             raise NotSentError("refused")
         contact.begin()
-        self.asked_room.append(target.instance)
+        self.reserve_attempts.append(target.instance)
         if target.instance in self.full:
             contact.hear(self.full_facts)
             return None
@@ -153,7 +153,7 @@
         self, source, request_id, destination, last, seconds, contact
     ):
         """Copy a run's memory; the last copy stops it first."""
-        if source.instance in self.dark:
+        if source.instance in self.unreachable:
             return MoveResult(MoveOutcome.NOT_SENT)
         contact.begin()
         contact.hear(AnswerFacts(limit=None))
@@ -172,7 +172,7 @@
         self.copies.add((source.address, handle))
         return MoveResult(MoveOutcome.COPIED, handle)
 
-    def at_stop(self, act) -> None:
+    def on_stop_order(self, act) -> None:
         """Call a function when a run is ordered to stop for its last copy.
 
         :param act: returns the result of the order, or ``None`` for the
--- a/packages/gateway/src/chivepier/gateway/serving/tests/parts.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/parts.py
@@ -246,7 +246,7 @@
         granted = self.permitted and self.turn.granted
         return PermitAnswer(granted, self.turn.wait)
 
-    def name_limit(self, name: str, rate: float | None) -> None:
+    def announce_limit(self, name: str, rate: float | None) -> None:
         """Set the rate limit that a target announced to another entry."""
         word = self.limits.find(name, 0)
         self.limits.put(
@@ -320,13 +320,13 @@
         target.born = born
         self.table.put(target)
 
-    def say_copying(self, entry: str, name: str, milliseconds: int) -> None:
+    def report_copying(self, entry: str, name: str, milliseconds: int) -> None:
         """Report copies of another entry off a target; 0 ends them."""
         copying = milliseconds > 0
         record = LoadRecord(entry, name, 1, 0, 0, milliseconds, copying)
         self.board.put(record, tell_time())
 
-    def say_waiting(
+    def report_waiting(
         self, entry: str, service: str, rank: int, waiting: int
     ) -> None:
         """Report the number of requests of a rank waiting at another entry."""
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_dispatching.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_dispatching.py
@@ -36,7 +36,7 @@
     # The caller sees 502 and knows that it may have run. The connection
     # breaks after the request was sent; a second target would run it again.
     async def test(parts):
-        parts.engines.lose = {"w-a", "w-b"}
+        parts.engines.disconnecting = {"w-a", "w-b"}
         failure = await fail(parts, make_request("/plain/x"))
         assert failure.kind is ErrorKind.TARGET_FAILED
         assert failure.ran is Ran.UNKNOWN
@@ -49,7 +49,7 @@
     # Target after target broke off, and each line named another request: a
     # caller that asks again does so under a new id. Path, team and body stay.
     async def test(parts):
-        parts.engines.lose = {"w-a"}
+        parts.engines.disconnecting = {"w-a"}
         for identity, body in (("r1", b"x"), ("r2", b"x"), ("r3", b"y")):
             request = make_request("/plain/x", id=identity, body=body)
             await fail(parts, request)
@@ -76,7 +76,7 @@
 def test_target_that_can_not_be_reached_costs_nothing_but_time():
     async def test(parts):
         answer_all(parts)
-        parts.engines.dark = {"w-a"}
+        parts.engines.unreachable = {"w-a"}
         for _ in range(8):
             caller = await parts.serve(make_request("/plain/x"))
             assert caller.status == 200
@@ -89,7 +89,7 @@
     # Requests went on to an address that another instance had taken over.
     async def test(parts):
         answer_all(parts)
-        parts.engines.wrong = {"w-a"}
+        parts.engines.misaddressed = {"w-a"}
         for _ in range(8):
             caller = await parts.serve(make_request("/plain/x"))
             assert caller.status == 200
@@ -112,7 +112,7 @@
 
 def test_repeatable_request_is_sent_to_another_target_after_a_failure():
     async def test(parts):
-        parts.engines.lose = {"w-a"}
+        parts.engines.disconnecting = {"w-a"}
         parts.engines.failing = {"w-b": 200}
         for _ in range(4):
             caller = await parts.serve(make_request("/read/x"))
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_guarding.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_guarding.py
@@ -23,7 +23,7 @@
 
 def end_under_it(parts, *names: str) -> None:
     """Let these targets end when they are sent anything."""
-    parts.engines.lose |= set(names)
+    parts.engines.disconnecting |= set(names)
     parts.engines.ended |= set(names)
 
 
@@ -92,7 +92,7 @@
         parts.configure(version=2, teams=teams)
         end_under_it(parts, "w-a", "w-b", "w-c", "w-d")
         await meet_ends(parts)
-        parts.engines.lose.clear()
+        parts.engines.disconnecting.clear()
         parts.engines.failing = {f"w-{n}": 200 for n in "abcd"}
         caller = await parts.serve(make_request("/read/x", **changes))
         assert caller.status == 200
@@ -104,7 +104,7 @@
     # A target fails a part of what it gets and breaks the connections. The
     # request is lost five times, but no target has ended.
     async def test(parts):
-        parts.engines.lose = {"w-a", "w-b", "w-c"}
+        parts.engines.disconnecting = {"w-a", "w-b", "w-c"}
         for number in range(5):
             failure = await fail(
                 parts, make_request("/read/x", id=f"{number}")
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_leaving.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_leaving.py
@@ -21,7 +21,7 @@
 LEAVES = AnswerFacts(leaving=True)
 
 
-def test_target_that_leaves_by_its_answer_gets_nothing_new():
+def test_target_with_a_leaving_notice_gets_no_new_requests():
     async def test(parts):
         answer_all(parts)
         parts.engines.facts = LEAVES
@@ -35,7 +35,7 @@
     play(test, "a", "b")
 
 
-def test_announcement_that_says_ready_changes_nothing():
+def test_ready_announcement_does_not_revoke_a_leaving_notice():
     async def test(parts):
         answer_all(parts)
         parts.leavers.note(make_target("w-a", "web"), 0.0)
@@ -50,7 +50,7 @@
     play(test, "a", "b")
 
 
-def test_refusal_says_so_as_well():
+def test_leaving_notice_in_a_refusal_counts():
     async def test(parts):
         parts.engines.refuse.add("w-a")
         parts.engines.refusal = AnswerFacts(not_run=True, leaving=True)
@@ -62,7 +62,7 @@
     play(test, "a", "b")
 
 
-def test_reservation_that_is_refused_says_so_as_well():
+def test_leaving_notice_in_a_refused_reservation_counts():
     async def test(parts):
         parts.engines.full.add("a")
         parts.engines.full_facts = AnswerFacts(limit=None, leaving=True)
@@ -70,12 +70,12 @@
             _, task = parts.start(make_request("/llm/x"))
             run = await parts.engines.wait_run(number)
             await finish(task, run, 1)
-        assert parts.engines.asked_room.count("a") == 1
+        assert parts.engines.reserve_attempts.count("a") == 1
 
     play(test, "a", "b", engine=RESERVING)
 
 
-def test_generations_move_off_a_target_that_leaves_by_its_answer():
+def test_leaving_notice_moves_running_generations():
     async def test(parts):
         caller, task, run = await begin(parts)
         parts.leavers.note(make_target(run.target), 0.0)
@@ -87,7 +87,7 @@
     play(test, "a", "b")
 
 
-def test_head_of_a_stream_moves_it():
+def test_leaving_notice_in_the_head_of_a_stream_moves_it():
     async def test(parts):
         parts.engines.facts = LEAVES
         caller, task = parts.start(make_request("/llm/x"))
@@ -102,7 +102,7 @@
     play(test, "a", "b")
 
 
-def test_send_that_waits_for_its_connection_goes_elsewhere():
+def test_send_waiting_for_a_connection_avoids_a_leaving_target():
     async def test(parts):
         answer_all(parts)
         stands = parts.engines.hold_connection("w-a")
@@ -128,7 +128,7 @@
     play(test, "a", "b")
 
 
-def test_word_of_a_life_that_ended_binds_no_later_one():
+def test_leaving_notice_of_an_earlier_incarnation_is_ignored():
     async def test(parts):
         answer_all(parts)
         old = make_target("w-a", "web")
@@ -143,7 +143,7 @@
     play(test, "a")
 
 
-def test_word_that_comes_before_the_target_is_known_counts():
+def test_leaving_notice_of_an_unknown_target_counts():
     async def test(parts):
         parts.leavers.note(make_target("w-z", "web"), 0.0)
         parts.table.put(make_target("w-z", "web"))
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_limits.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_limits.py
@@ -39,7 +39,7 @@
 
 def test_what_a_target_in_need_does_not_take_goes_to_others():
     async def test(parts):
-        parts.name_limit("w-a", 1.5)
+        parts.announce_limit("w-a", 1.5)
         parts.turn = REFUSED
         assert set(await answer_plain(parts, 6)) == {"w-b"}
 
@@ -50,8 +50,8 @@
 def test_nobody_waits_for_a_turn_while_another_target_has_room(path):
     # A call waited for half of its objective beside a target that was free.
     async def test(parts):
-        parts.name_limit("w-a", 1.5)
-        parts.name_limit("a", 1.5)
+        parts.announce_limit("w-a", 1.5)
+        parts.announce_limit("a", 1.5)
         parts.turn = REFUSED
         caller, task = parts.start(make_request(path))
         run = await parts.engines.wait_run(1)
@@ -64,7 +64,7 @@
 
 def test_target_in_need_is_sent_what_it_takes():
     async def test(parts):
-        parts.name_limit("w-a", 1.5)
+        parts.announce_limit("w-a", 1.5)
         assert await answer_plain(parts) == ["w-a"]
         (claim,) = parts.claims
         assert (claim.instance, claim.rate) == ("w-a", 1.5)
@@ -80,7 +80,7 @@
     # targets that could not take it either.
     async def test(parts):
         for name in ("a", "b", "w-a", "w-b"):
-            parts.name_limit(name, 0.5)
+            parts.announce_limit(name, 0.5)
         parts.turn = REFUSED
         failures = [await fail(parts, make_request(path)) for _ in range(3)]
         assert {f.kind for f in failures} == {ErrorKind.OVERLOADED}
@@ -100,8 +100,8 @@
 def test_target_that_is_avoided_for_a_moment_is_used_beside_those_in_need():
     # It had not answered once, and callers were told that all were in need.
     async def test(parts):
-        parts.name_limit("w-a", 0.5)
-        parts.name_limit("w-b", 0.5)
+        parts.announce_limit("w-a", 0.5)
+        parts.announce_limit("w-b", 0.5)
         parts.turn = REFUSED
         parts.dispatcher.chooser.avoid("w-c")
         assert await answer_plain(parts) == ["w-c"]
@@ -113,7 +113,7 @@
     # The one without a limit refused once, and the caller was told that all
     # were in need.
     async def test(parts):
-        parts.name_limit("w-a", 0.5)
+        parts.announce_limit("w-a", 0.5)
         parts.turn = REFUSED
         parts.engines.refuse.add("w-b")
         caller, task = parts.start(make_request("/plain/x"))
@@ -131,7 +131,7 @@
 def test_generation_is_sent_to_a_target_in_need_without_a_reservation():
     # The reservation came to it as one more request.
     async def test(parts):
-        parts.name_limit("a", 1.5)
+        parts.announce_limit("a", 1.5)
         caller, task, run = await begin(parts)
         assert parts.engines.reserved == []
         assert len(parts.claims) == 1
@@ -143,7 +143,7 @@
 def test_late_generation_claims_its_turn_after_those_in_time():
     # After a rush the late ones would take all that a target in need takes.
     async def test(parts):
-        parts.name_limit("a", 1.5)
+        parts.announce_limit("a", 1.5)
         parts.engines.facts = AnswerFacts(limit=RateLimit(1.5))
         late = make_request(arrived=tell_time() - 1.5)
         for request in (make_request(), late):
@@ -160,7 +160,7 @@
 def test_streams_that_run_at_a_target_in_need_go_on():
     async def test(parts):
         caller, task, run = await begin(parts)
-        parts.name_limit("a", 0.0)
+        parts.announce_limit("a", 0.0)
         parts.turn = REFUSED
         await finish(task, run, 5)
         assert caller.finished and not caller.aborted
@@ -186,7 +186,7 @@
     # At a target in need it would wait for a turn, with its caller.
     async def test(parts):
         for name in ("b", "c", "d"):
-            parts.name_limit(name, 5.0)
+            parts.announce_limit(name, 5.0)
         chooser = parts.dispatcher.chooser
         source = parts.table.get("a")
         for _ in range(10):
@@ -205,7 +205,7 @@
         service = parts.state.index.services["llm"]
         gate, claim = parts.dispatcher.gate, Claim("t1", 3)
         for number in range(9):
-            parts.name_limit(f"t{number}", 1.0)
+            parts.announce_limit(f"t{number}", 1.0)
             target = parts.table.get(f"t{number}")
             await gate.take_permit(service, target, claim)
         caller, task = parts.start(make_request())
@@ -222,7 +222,7 @@
     async def test(parts):
         names = [f"t{n}" for n in range(20)]
         for name in names:
-            parts.name_limit(f"w-{name}", 1.0)
+            parts.announce_limit(f"w-{name}", 1.0)
         parts.turn = REFUSED
         await fail(parts, make_request("/plain/x"))
         assert len(parts.claims) == 3
@@ -237,7 +237,7 @@
         llm = Service(name="llm", connections=10, engine=ENGINE)
         parts.configure(version=2, services=(llm, web))
         parts.table.get("w-a").warm_at = tell_time() + 60.0
-        parts.name_limit("w-a", 1.5)
+        parts.announce_limit("w-a", 1.5)
         await answer_plain(parts)
         (claim,) = parts.claims
         assert claim.patience == 0.0 and claim.most > 0
@@ -248,7 +248,7 @@
 def test_entry_alone_shares_with_all_that_were_known_before():
     # The voter that it hears last hears few entries, and its part would grow.
     async def test(parts):
-        parts.name_limit("w-a", 1.5)
+        parts.announce_limit("w-a", 1.5)
         parts.engines.facts = AnswerFacts(limit=RateLimit(1.5))
         parts.state.entries = 50
         await answer_plain(parts)
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_moving.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_moving.py
@@ -14,7 +14,7 @@
 from chivepier.types import RequestError
 
 
-def test_stream_of_a_leaving_target_goes_on_as_one_series():
+def test_moved_stream_has_each_event_once_in_order():
     # Events must not be lost, duplicated or truncated by a move.
     async def test(parts):
         caller, task, run = await begin(parts)
@@ -41,7 +41,7 @@
     play(test, "a", "b")
 
 
-def test_torn_event_is_not_passed_on():
+def test_partial_event_is_not_relayed():
     # A source may stop in the middle of an event. The caller must not get the
     # partial event, followed by the complete one of the next target.
     async def test(parts):
@@ -124,7 +124,7 @@
             await caller.wait_events(1)
             streams.append((run, task))
         parts.table.put(make_target("b", "llm"))
-        parts.say_copying("z-last", "a", milliseconds=600)
+        parts.report_copying("z-last", "a", milliseconds=600)
         parts.leave("a")
         await asyncio.sleep(0)
         for run, _ in streams:
@@ -140,11 +140,11 @@
     # behind the long first copies of others.
     async def test(parts):
         caller, task, run = await begin(parts)
-        parts.say_copying("z-last", run.target, milliseconds=600)
+        parts.report_copying("z-last", run.target, milliseconds=600)
         parts.leave(run.target)
         await asyncio.sleep(0.2)
         assert not parts.engines.moves
-        parts.say_copying("z-last", run.target, milliseconds=0)
+        parts.report_copying("z-last", run.target, milliseconds=0)
         fresh = await parts.engines.wait_run(2)
         await finish(task, fresh)
 
@@ -222,7 +222,7 @@
 def test_resumable_stream_goes_on_anew_after_a_crash():
     async def test(parts):
         caller, task, run = await begin(parts, "/resume/x")
-        parts.engines.dark = {run.target}
+        parts.engines.unreachable = {run.target}
         run.cut()
         fresh = await parts.engines.wait_run(2)
         assert fresh.target != run.target
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_rests.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_rests.py
@@ -189,7 +189,7 @@
         for _ in range(5):
             tasks.append(parts.start(make_request("/llm/x"))[1])
             await asyncio.sleep(0.05)
-        assert parts.engines.asked_room.count("a") <= 1
+        assert parts.engines.reserve_attempts.count("a") <= 1
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_retryafterscheduler.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_retryafterscheduler.py
@@ -9,7 +9,7 @@
 ENTRIES = 7
 
 
-def test_callers_of_all_entries_come_back_at_the_rate():
+def test_retries_of_all_entries_together_keep_to_the_rate():
     books = [RetryAfterScheduler(random.Random(n)) for n in range(ENTRIES)]
     moments = []
     for number in range(70):
@@ -22,7 +22,7 @@
     assert max(moments) <= 70 / RATE + 2.0
 
 
-def test_nobody_is_told_to_come_back_after_all_has_changed():
+def test_retry_delay_has_a_maximum():
     returns = RetryAfterScheduler(random.Random(1))
     told = [returns.schedule("s", RATE, ENTRIES, 0.0) for _ in range(500)]
     assert max(told) <= MAX_DELAY_SECONDS
@@ -32,7 +32,7 @@
     assert max(late) - min(late) > MAX_DELAY_SECONDS / 4
 
 
-def test_services_have_moments_of_their_own():
+def test_services_are_scheduled_separately():
     returns = RetryAfterScheduler(random.Random(1))
     for _ in range(10):
         returns.schedule("a", RATE, 1, 0.0)
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_retrybudget.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_retrybudget.py
@@ -57,14 +57,14 @@
     assert fleet.play(range(entries), 9.0) <= EXTRA
 
 
-def test_entry_that_hears_of_no_other_takes_its_equal_part():
+def test_entry_without_peer_loans_takes_its_equal_part():
     fleet = Fleet(191)
     fleet.now = 5.0
     taken = sum(fleet.take(0) for _ in range(20))
     assert taken == int(0.7 * EXTRA / 191)
 
 
-def test_what_was_lent_comes_back_with_the_window():
+def test_loans_expire_with_the_window():
     fleet = Fleet(4)
     first = fleet.play(range(4), 9.0)
     fleet.now += 11.0
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_stopping.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_stopping.py
@@ -26,7 +26,7 @@
             parts.engines.full.add(find_other(run.target))
             parts.engines.copies.add((source, "h-r1"))
 
-        parts.engines.at_stop(fill)
+        parts.engines.on_stop_order(fill)
         parts.leave(run.target)
         fresh = await parts.engines.wait_run(2)
         assert fresh.target == run.target
@@ -45,7 +45,7 @@
             run.end()
             return MoveResult(MoveOutcome.NO_RUN)
 
-        parts.engines.at_stop(end)
+        parts.engines.on_stop_order(end)
         parts.leave(run.target)
         await task
         await wait_until(lambda: parts.engines.dropped)
@@ -66,7 +66,7 @@
             run.cut()
             return MoveResult(MoveOutcome.FAILED)
 
-        parts.engines.at_stop(die)
+        parts.engines.on_stop_order(die)
         parts.leave(run.target)
         fresh = await parts.engines.wait_run(2)
         assert fresh.target != run.target
@@ -86,9 +86,9 @@
             run.make(1)
             run.end()
             parts.engines.copies.clear()
-            parts.engines.dark.add(run.target)
+            parts.engines.unreachable.add(run.target)
 
-        parts.engines.at_stop(end_whole)
+        parts.engines.on_stop_order(end_whole)
         parts.leave(run.target)
         await task
         assert caller.numbers == [1, 2, 3]
@@ -113,7 +113,7 @@
             refused.append(other)
             return MoveResult(outcome)
 
-        parts.engines.at_stop(refuse)
+        parts.engines.on_stop_order(refuse)
         parts.leave(run.target)
         await wait_until(lambda: refused and not run.stopped)
         run.make(1)
@@ -139,7 +139,7 @@
             run.end()
             return MoveResult(MoveOutcome.FAILED)
 
-        parts.engines.at_stop(lose)
+        parts.engines.on_stop_order(lose)
         parts.leave(run.target)
         if not framed:
             fresh = await parts.engines.wait_run(2)
@@ -161,9 +161,9 @@
 
         def end_whole():
             run.end()
-            parts.engines.dark.add(run.target)
+            parts.engines.unreachable.add(run.target)
 
-        parts.engines.at_stop(end_whole)
+        parts.engines.on_stop_order(end_whole)
         parts.leave(run.target)
         await task
         await wait_until(lambda: not parts.mover.busy)
@@ -187,7 +187,7 @@
             lost.append(run.make(1))
             return MoveResult(MoveOutcome.NOT_SENT)
 
-        parts.engines.at_stop(lose_first)
+        parts.engines.on_stop_order(lose_first)
         parts.leave(run.target)
         fresh = await parts.engines.wait_run(2)
         assert run.stopped and lost
@@ -203,9 +203,9 @@
 
         def die():
             run.cut()
-            parts.engines.dark.add(run.target)
+            parts.engines.unreachable.add(run.target)
 
-        parts.engines.at_stop(die)
+        parts.engines.on_stop_order(die)
         parts.leave(run.target)
         fresh = await parts.engines.wait_run(2)
         assert fresh.target != run.target
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_targetassigner.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_targetassigner.py
@@ -41,7 +41,7 @@
 
 def test_target_that_can_not_be_asked_is_passed_over():
     async def test(parts):
-        parts.engines.dark = {"a"}
+        parts.engines.unreachable = {"a"}
         name, order = await serve_one(parts)
         assert (name, order.reservation) == ("b", "hold-b")
 
@@ -99,7 +99,7 @@
     play(test, "a", "b", engine=RESERVING)
 
 
-def test_late_request_lets_those_in_time_go_first():
+def test_late_request_lets_requests_in_time_go_first():
     # If late requests are served in order of arrival, all later ones become
     # late as well.
     await_turn(waited=1.5)
@@ -120,13 +120,13 @@
     async def test(parts):
         parts.dispatcher.chooser.pace.note("llm", 100, reading)
         parts.board.change("a", tokens=100_000 - 400)
-        parts.say_waiting("other", "llm", rank=3, waiting=1)
+        parts.report_waiting("other", "llm", rank=3, waiting=1)
         arrived = make_request().arrived - waited
         caller, task = parts.start(make_request(arrived=arrived))
         await wait_until(lambda: parts.queues.own())
         await asyncio.sleep(0.25)
         assert not parts.engines.orders
-        parts.say_waiting("other", "llm", rank=3, waiting=0)
+        parts.report_waiting("other", "llm", rank=3, waiting=0)
         answer = await parts.engines.wait_run(1)
         answer.make()
         answer.end()
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_zonerules.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_zonerules.py
@@ -74,7 +74,7 @@
     async def test(parts):
         put(parts, "w-a1", "a", "web")
         put(parts, "w-b1", "b", "web")
-        parts.engines.lose = {"w-a1", "w-b1"}
+        parts.engines.disconnecting = {"w-a1", "w-b1"}
         parts.evacuate("b")
         failure = await fail(parts, make_request("/read/x"))
         assert failure.kind is ErrorKind.TARGET_FAILED
@@ -205,7 +205,7 @@
 def test_no_probe_goes_to_an_evacuated_zone():
     async def test(parts):
         put(parts, "w-a1", "a", "web")
-        parts.engines.lose = {"w-a1"}
+        parts.engines.disconnecting = {"w-a1"}
         send = parts.engines.send
 
         async def send_late(*args):
@@ -220,7 +220,7 @@
     play(test)
 
 
-def test_cold_target_gets_nothing_without_leave():
+def test_cold_target_gets_nothing_without_a_permit():
     # If entries without a leader send without a permit, together they exceed
     # the rate that a target that has just started can handle.
     async def test(parts):
@@ -258,7 +258,7 @@
     play(test)
 
 
-def test_cold_target_is_used_with_leave():
+def test_cold_target_is_used_with_a_permit():
     async def test(parts):
         parts.configure(version=2, services=SERVICES)
         later = tell_time() + 60.0
@@ -300,7 +300,7 @@
     play(test)
 
 
-def test_generation_goes_on_at_a_cold_target_only_with_leave():
+def test_generation_moves_to_a_cold_target_only_with_a_permit():
     async def test(parts):
         parts.configure(version=2, services=SERVICES)
         put(parts, "a1", "a")
@@ -349,7 +349,7 @@
     play(test)
 
 
-def test_entry_that_stood_still_asks_before_it_sends():
+def test_suspended_entry_updates_evacuations_before_it_sends():
     # An entry that was suspended must not send to a zone that was evacuated
     # meanwhile.
     async def test(parts):
