--- a/packages/gateway/src/chivepier/gateway/serving/handoff.py
+++ b/packages/gateway/src/chivepier/gateway/serving/handoff.py
@@ -1,4 +1,4 @@
-"""Where a moved generation continues."""
+"""Where a moved generation resumes."""
 
 import attrs
 
@@ -8,7 +8,7 @@
 
 @attrs.frozen
 class Handoff:
-    """The next target of a generation, and the memory it continues from.
+    """The next target of a generation, and the memory it resumes from.
 
     :param target: target to send the request to
     :param origin: the copied memory; ``None`` to start over from the prompt
--- a/packages/gateway/src/chivepier/gateway/serving/mover.py
+++ b/packages/gateway/src/chivepier/gateway/serving/mover.py
@@ -264,7 +264,7 @@
                 return moved.outcome, Handoff(target, origin)
             case MoveOutcome.NO_ROOM if moved.handle:
                 # stopped, but no room for the second copy: the source
-                # keeps the memory, and the generation continues there
+                # keeps the memory, and the generation resumes there
                 return moved.outcome, Handoff(source, origin)
             case MoveOutcome.NOT_SENT if run.lost.is_set():
                 return moved.outcome, copy
@@ -307,7 +307,7 @@
         self._track_task(asyncio.create_task(self._drop_copy(run, copy)))
 
     async def _drop_copy(self, run: LiveRun, copy: Handoff) -> None:
-        """Free a copy that no generation continues from.
+        """Free a copy that no generation resumes from.
 
         Otherwise it would occupy memory for seconds, and generations on that
         target would be preempted for it.
--- a/packages/gateway/src/chivepier/gateway/serving/rejectionpolicy.py
+++ b/packages/gateway/src/chivepier/gateway/serving/rejectionpolicy.py
@@ -80,7 +80,7 @@
                 "the zones of its targets are evacuated or not allowed for it"
             )
             raise RequestError.of(ErrorKind.NO_TARGET, text)
-        raise self.make_error(plan, runs, "no target has room")
+        raise self.make_error(plan, runs, "no target has capacity")
 
     def _is_barred_by_zone_rules(self, plan: Plan) -> bool:
         """Return whether zone rules alone exclude all ready targets."""
--- a/packages/gateway/src/chivepier/gateway/serving/retrybudget.py
+++ b/packages/gateway/src/chivepier/gateway/serving/retrybudget.py
@@ -1,4 +1,4 @@
-"""Limiting repeats to a budget that all entries share."""
+"""Limiting retries to a budget that all entries share."""
 
 from chivepier.gateway.messages import RepeatRecord
 from chivepier.gateway.serving.retrywindow import BUCKETS
@@ -21,10 +21,10 @@
 
 
 class RetryBudget:
-    """Limits repeats per service over a sliding window.
+    """Limits retries per service over a sliding window.
 
     Without a limit, a target that fails every request would double its load
-    when it can handle it least. Each entry may repeat a fraction of its own
+    when it can handle it least. Each entry may retry a fraction of its own
     requests, plus an equal part of a fixed allowance.
 
     With many entries an equal part is almost nothing, and callers use only a
@@ -36,8 +36,8 @@
     >>> [budget.take("s", 0.0, entries=2) for _ in range(5)]
     [True, True, True, False, False]
 
-    :param ratio: allowed repeats per request
-    :param extra: fixed allowance of repeats per window, for all entries
+    :param ratio: allowed retries per request
+    :param extra: fixed allowance of retries per window, for all entries
         together
     :param window: length of the window in seconds
     :param entry: name of this entry
@@ -64,24 +64,24 @@
         self._get_window(service, now).requests[-1] += 1
 
     def take(self, service: str, now: float, entries: int) -> bool:
-        """Count one repeat, if it is within the budget.
+        """Count one retry, if it is within the budget.
 
         :param service: name of the service
         :param now: current monotonic time in seconds
         :param entries: number of entries that share the allowance
-        :returns: whether the repeat may be sent
+        :returns: whether the retry may be sent
         """
         window = self._get_window(service, now)
         can_borrow = self._has_fresh_peer_counts(now)
         share = GUARANTEED_FRACTION if can_borrow else USABLE_FRACTION
         allowed = USABLE_FRACTION * self._ratio * sum(window.requests)
         allowed += share * self._extra / max(1, entries)
-        own = sum(window.repeats) - sum(window.borrowed)
+        own = sum(window.retries) - sum(window.borrowed)
         if own + 1 > allowed:
             if not can_borrow or not self._borrow(service, window, now):
                 return False
             window.borrowed[-1] += 1
-        window.repeats[-1] += 1
+        window.retries[-1] += 1
         return True
 
     def update_peer_loans(
@@ -89,7 +89,7 @@
     ) -> None:
         """Update the loans of other entries.
 
-        :param repeats: their numbers of borrowed repeats
+        :param repeats: their numbers of borrowed retries
         :param whole: whether entries not listed have borrowed nothing
         :param now: current monotonic time in seconds
         """
@@ -101,7 +101,7 @@
                 self._peer_loans[(record.entry, record.service)] = record.used
 
     def list_loans(self, now: float) -> list[RepeatRecord]:
-        """Return this entry's borrowed repeats of each service.
+        """Return this entry's borrowed retries of each service.
 
         :param now: current monotonic time in seconds
         """
--- a/packages/gateway/src/chivepier/gateway/serving/retrywindow.py
+++ b/packages/gateway/src/chivepier/gateway/serving/retrywindow.py
@@ -13,21 +13,21 @@
 
 @attrs.define
 class RetryWindow:
-    """Requests and repeats of one service; the last bucket is the newest.
+    """Requests and retries of one service; the last bucket is the newest.
 
     :param requests: requests that callers sent, per bucket
-    :param repeats: repeats that this entry sent, borrowed ones included
-    :param borrowed: repeats that this entry borrowed
+    :param retries: retries that this entry sent, borrowed ones included
+    :param borrowed: retries that this entry borrowed
     :param borrowed_at: monotonic time of the last loan in seconds; ``None``
         before the first one
     """
 
     requests: collections.deque[int] = attrs.field(factory=_make_buckets)
-    repeats: collections.deque[int] = attrs.field(factory=_make_buckets)
+    retries: collections.deque[int] = attrs.field(factory=_make_buckets)
     borrowed: collections.deque[int] = attrs.field(factory=_make_buckets)
     borrowed_at: float | None = None
 
     def advance(self) -> None:
         """Start a new bucket and drop the oldest one."""
-        for buckets in (self.requests, self.repeats, self.borrowed):
+        for buckets in (self.requests, self.retries, self.borrowed):
             buckets.append(0)
--- a/packages/gateway/src/chivepier/gateway/serving/targetassigner.py
+++ b/packages/gateway/src/chivepier/gateway/serving/targetassigner.py
@@ -290,7 +290,7 @@
 
         Generations on targets that are leaving go before waiting requests:
         unless they are moved within the notice period, they are lost and
-        their prompts have to be processed again.
+        their prompts have to be prefilled again.
         """
         service = plan.service
         now = self._clock.monotonic()
--- a/packages/gateway/src/chivepier/gateway/serving/tests/fakeengines.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/fakeengines.py
@@ -70,10 +70,10 @@
     request, ``disconnecting`` do so instead of answering, ``unreachable``
     can't be connected to, ``misaddressed`` answer as another instance,
     ``full`` have no room, and ``ended`` no longer listen. ``failing`` maps
-    instances to the status that they answer with. ``copies`` holds the memory that can be continued
-    from. ``facts``, ``refusal`` and ``full_facts`` are the facts in the heads
-    of answers, refusals and refused reservations. No answer is returned
-    before ``heads`` is set.
+    instances to the status that they answer with. ``copies`` holds the memory
+    that runs can resume from. ``facts``, ``refusal`` and ``full_facts`` are
+    the facts in the heads of answers, refusals and refused reservations. No
+    answer is returned before ``heads`` is set.
     """
 
     def __init__(self) -> None:
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_moving.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_moving.py
@@ -288,8 +288,8 @@
 
 
 def test_request_that_waits_for_a_target_that_starts_again_is_answered():
-    # The target restarts before the first event: the caller must not wait until
-    # its deadline. The request may have run, so its outcome is unknown.
+    # The target restarts before the first event: the caller must not wait
+    # until its deadline. The request may have run, so its outcome is unknown.
     async def test(parts):
         caller, task = parts.start(make_request())
         run = await parts.engines.wait_run(1)
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_retrybudget.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_retrybudget.py
@@ -1,4 +1,4 @@
-"""Tests of the budget of repeats that all entries share."""
+"""Tests of the budget of retries that all entries share."""
 
 import pytest
 
@@ -28,12 +28,12 @@
             budget.update_peer_loans(told, True, self.now)
 
     def take(self, number: int) -> bool:
-        """Request a repeat at one entry."""
+        """Request a retry at one entry."""
         budget = self.budgets[number]
         return budget.take("s", self.now, len(self.budgets))
 
     def play(self, asking: range, seconds: float) -> int:
-        """Count the repeats granted to entries that ask every 0.25 s."""
+        """Count the retries granted to entries that ask every 0.25 s."""
         taken = 0
         for _ in range(int(seconds * 4)):
             taken += sum(self.take(number) for number in asking)
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize("entries", [1, 8, 191])
 def test_all_entries_together_stay_within_the_budget(entries):
-    # If every target fails every request, unlimited repeats would double the
+    # If every target fails every request, unlimited retries would double the
     # load of targets that are already overloaded.
     fleet = Fleet(entries)
     assert fleet.play(range(entries), 9.0) <= EXTRA
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_targetassigner.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_targetassigner.py
@@ -114,7 +114,7 @@
     """Check that a late request leaves the last free room to another one.
 
     :param waited: seconds since its arrival; its objective is one second
-    :param reading: seconds to process its prompt
+    :param reading: seconds to prefill its prompt
     """
 
     async def test(parts):
@@ -163,7 +163,7 @@
 
 
 def test_prompts_that_come_at_once_are_not_all_read_at_one_target():
-    # Otherwise the only target with room gets all prompts and processes them
+    # Otherwise the only target with room gets all prompts and prefills them
     # one after the other.
     async def test(parts):
         parts.dispatcher.chooser.pace.note("llm", 1_000, 2.0)
--- a/packages/gateway/src/chivepier/gateway/serving/waitstage.py
+++ b/packages/gateway/src/chivepier/gateway/serving/waitstage.py
@@ -7,7 +7,7 @@
 # Fraction of its latency objective for which a request leaves free room to the
 # requests ahead of it.
 EARLY_FRACTION = 0.5
-# Fraction of its objective, including the processing of its prompt, after
+# Fraction of its objective, including the prefill of its prompt, after
 # which a request can no longer get its first event in time.
 LATE_FRACTION = 1.0
 # Multiple of its objective after which a request is rejected, before its
@@ -38,7 +38,7 @@
 
     :param plan: the plan of the request
     :param now: current monotonic time in seconds
-    :param reading: expected seconds to process its prompt
+    :param reading: expected seconds to prefill its prompt
     """
     waited = (now - plan.request.arrived) / plan.route.objective
     left = (plan.deadline - now) / plan.route.objective
