--- /dev/null
+++ b/packages/gateway/src/chivepier/gateway/serving/bodymemory.py
@@ -0,0 +1,51 @@
+"""Limiting the memory of buffered request bodies."""
+
+import collections.abc
+import contextlib
+
+import attrs
+
+from chivepier.gateway.serving.bodyallocation import BodyAllocation
+from chivepier.types import ErrorKind
+from chivepier.types import RequestError
+
+
+@attrs.define
+class BodyMemory:
+    """Limits the total size of the bodies that are buffered.
+
+    A body is buffered until its request has ended, as it may have to be sent
+    again. The configuration limits each body, but many together could exhaust
+    the memory of the process and end all its streams; their callers would
+    retry at the next instance and exhaust that one. A body beyond the limit
+    is rejected, with the information that the request has not run.
+
+    >>> memory = BodyMemory(10)
+    >>> with memory.allocate() as body:
+    ...     body.extend(8)
+    ...     memory.used_bytes
+    8
+    >>> memory.used_bytes
+    0
+
+    :param max_bytes: maximum total size of all bodies
+    :param used_bytes: current total size
+    """
+
+    max_bytes: int
+    used_bytes: int = 0
+
+    @contextlib.contextmanager
+    def allocate(self) -> collections.abc.Iterator[BodyAllocation]:
+        """Allocate memory to a request until the context is left."""
+        allocation = BodyAllocation(self._reserve)
+        try:
+            yield allocation
+        finally:
+            self.used_bytes -= allocation.used_bytes
+
+    def _reserve(self, count: int) -> None:
+        if self.used_bytes + count > self.max_bytes:
+            text = "the buffers for request bodies of this instance are full"
+            raise RequestError.of(ErrorKind.OVERLOADED, text)
+        self.used_bytes += count
--- a/packages/gateway/src/chivepier/gateway/serving/copyturns.py
+++ b/packages/gateway/src/chivepier/gateway/serving/copyturns.py
@@ -1,4 +1,4 @@
-"""Taking turns to copy memory off a target that leaves."""
+"""Serializing the memory copies off a leaving target."""
 
 import asyncio
 import collections.abc
@@ -9,92 +9,92 @@
 from chivepier.gateway.targets import LoadTracker
 from chivepier.types import Clock
 
-# Seconds until entries know of each other what they have to copy.
-EXCHANGE_SECONDS = 0.08
-# Seconds between two looks whether the other entries have copied: news of
-# them take as long.
-LOOK_SECONDS = 0.03
-# Seconds to wait for other entries' copies at most: a target that leaves
-# gives a notice of about two seconds, and an entry may be frozen.
-MOST_SECONDS = 1.2
+# Seconds until an announcement of pending copies has reached all entries.
+PEER_UPDATE_SECONDS = 0.08
+# Interval of checks whether the other entries have finished copying; their
+# updates take about as long to arrive.
+POLL_INTERVAL_SECONDS = 0.03
+# Maximum wait for the copies of other entries: a leaving target gives a notice
+# of about two seconds, and another entry may hang.
+MAX_WAIT_SECONDS = 1.2
 
 
 class CopyTurns:
-    """Lets one generation at a time be copied off a target, over all entries.
+    """Serializes the copies off each target across all entries.
 
-    All copies of one target share its link, one after the other. Asked for at
-    once, the short second copies would wait behind other generations' long
-    first ones, with their own stopped meanwhile.
+    The copies off one target share its network link and are made one after
+    the other. If all were ordered at once, the short second copy of a stopped
+    generation would wait behind the long first copies of others.
 
-    :param board: what the other entries have to copy
-    :param clock: monotonic time
+    :param board: shares the pending copies with the other entries
+    :param clock: source of monotonic time
     """
 
     def __init__(self, board: LoadTracker, clock: Clock):
         self._board = board
         self._clock = clock
-        self._due: dict[str, set[LiveRun]] = {}
-        self._told: dict[str, float] = {}
+        self._pending: dict[str, set[LiveRun]] = {}
+        self._published_at: dict[str, float] = {}
         self._locks: dict[str, asyncio.Lock] = {}
 
-    def expect(self, source: str, runs: set[LiveRun]) -> None:
-        """Tell the other entries what this one has to copy.
+    def announce(self, source: str, runs: set[LiveRun]) -> None:
+        """Announce this entry's pending copies to the other entries.
 
-        :param source: the target that leaves
-        :param runs: its generations here
+        :param source: the instance that is leaving
+        :param runs: its generations that this entry relays
         """
-        due = self._due.setdefault(source, set())
+        due = self._pending.setdefault(source, set())
         if runs <= due:
             return
         due |= runs
-        self._told[source] = self._clock.monotonic()
-        self._tell(source)
+        self._published_at[source] = self._clock.monotonic()
+        self._publish(source)
 
-    def skip(self, source: str, run: LiveRun) -> None:
-        """Let the others go first: there is no place for it yet."""
-        due = self._due.get(source, set())
+    def withdraw(self, source: str, run: LiveRun) -> None:
+        """Withdraw a pending copy, so that other entries need not wait."""
+        due = self._pending.get(source, set())
         if run in due:
             due.discard(run)
-            self._tell(source)
+            self._publish(source)
 
     @property
     def sources(self) -> set[str]:
-        """The targets of which anything is known."""
-        return {*self._due, *self._told, *self._locks}
+        """The targets with any stored state."""
+        return {*self._pending, *self._published_at, *self._locks}
 
     def forget(self, source: str) -> None:
-        """Drop what is known of a target without generations."""
-        for known in (self._due, self._told, self._locks):
+        """Delete the state of a target that has no generations left."""
+        for known in (self._pending, self._published_at, self._locks):
             known.pop(source, None)
         self._board.set_copy_time(source, 0)
 
-    def _tell(self, source: str) -> None:
-        seconds = sum(run.copy_seconds() for run in self._due[source])
+    def _publish(self, source: str) -> None:
+        seconds = sum(run.copy_seconds() for run in self._pending[source])
         self._board.set_copy_time(source, milliseconds(seconds))
 
     @contextlib.asynccontextmanager
     async def take(
         self, source: str, run: LiveRun
     ) -> collections.abc.AsyncIterator[None]:
-        """Hold the turn of one generation."""
+        """Wait for the turn of a generation and hold it in the context."""
         async with self._locks.setdefault(source, asyncio.Lock()):
-            self.expect(source, {run})
-            await self._wait(source, run)
+            self.announce(source, {run})
+            await self._wait_for_turn(source, run)
             self._board.set_copying(source, True)
             try:
                 yield
             finally:
                 self._board.set_copying(source, False)
-                self.skip(source, run)
+                self.withdraw(source, run)
 
-    async def _wait(self, source: str, run: LiveRun) -> None:
-        known = self._told[source] + EXCHANGE_SECONDS
+    async def _wait_for_turn(self, source: str, run: LiveRun) -> None:
+        known = self._published_at[source] + PEER_UPDATE_SECONDS
         await run.await_loss(max(0.0, known - self._clock.monotonic()))
         began = self._clock.monotonic()
         before = self._board.get_copy_wait_ms(source, began)
-        end = began + min(before / 1000, MOST_SECONDS)
+        end = began + min(before / 1000, MAX_WAIT_SECONDS)
         while before and self._clock.monotonic() < end:
-            await run.await_loss(LOOK_SECONDS)
+            await run.await_loss(POLL_INTERVAL_SECONDS)
             if run.lost.is_set():
                 return
             before = self._board.get_copy_wait_ms(
--- /dev/null
+++ b/packages/gateway/src/chivepier/gateway/serving/moveresult.py
@@ -0,0 +1,18 @@
+"""Result of a copy of a generation's memory."""
+
+import attrs
+
+from chivepier.gateway.serving.moveoutcome import MoveOutcome
+
+
+@attrs.frozen
+class MoveResult:
+    """The outcome of a copy, and the handle of the copied memory.
+
+    :param outcome: whether the copy is complete
+    :param handle: identifies the copy; after ``NO_ROOM`` for a stopped run,
+        the memory that the source still holds; otherwise empty
+    """
+
+    outcome: MoveOutcome
+    handle: str = ""
--- a/packages/gateway/src/chivepier/gateway/serving/prompt.py
+++ b/packages/gateway/src/chivepier/gateway/serving/prompt.py
@@ -1,24 +1,25 @@
-"""What a request says of the generation it asks for."""
+"""Size of the generation that a request asks for."""
 
 import attrs
 
 
 @attrs.frozen(kw_only=True)
 class Prompt:
-    """Sizes in tokens.
+    """Sizes of the prompt and of the output, in tokens.
 
-    :param tokens: to be read in
-    :param most_output: to be generated at most
-    :param guess: the caller's guess of the output, right at the median only
+    :param tokens: length of the prompt
+    :param max_output: maximum length of the output
+    :param length_hint: the caller's estimate of the output length, which is
+        right only at the median
     """
 
     tokens: int
-    most_output: int
-    guess: int | None = None
+    max_output: int
+    length_hint: int | None = None
 
     @property
     def expected_output(self) -> int:
-        """Tokens of output to plan with."""
-        if self.guess is None:
-            return self.most_output // 2
-        return min(self.guess, self.most_output)
+        """Expected length of the output."""
+        if self.length_hint is None:
+            return self.max_output // 2
+        return min(self.length_hint, self.max_output)
--- /dev/null
+++ b/packages/gateway/src/chivepier/gateway/serving/rejectionpolicy.py
@@ -0,0 +1,179 @@
+"""Rejecting requests, with the error that the caller gets."""
+
+import datetime
+
+from chivepier.gateway.eventlog import EventLog
+from chivepier.gateway.serving.plan import Plan
+from chivepier.gateway.serving.retryafterscheduler import RetryAfterScheduler
+from chivepier.gateway.targets import TargetState
+from chivepier.gateway.targets import TargetTable
+from chivepier.types import Clock
+from chivepier.types import ErrorKind
+from chivepier.types import Failure
+from chivepier.types import Ran
+from chivepier.types import RequestError
+
+# With less time left no target can answer: a round trip between availability
+# zones and the shortest processing take about as long.
+MIN_TIME_LEFT_SECONDS = 0.02
+# Number of rounds in which all targets may refuse before the request is
+# rejected.
+MAX_ROUNDS = 3
+
+
+class RejectionPolicy:
+    """Decides when a request is rejected, and with which error.
+
+    An error says that the request has not run only if no target may have run
+    it. Such an error also tells the caller when to retry.
+
+    :param table: the known targets
+    :param clock: source of monotonic time
+    :param retry_after: schedules the retries of rejected callers
+    :param log: receives rejections caused by rate limits and backoffs
+    """
+
+    def __init__(
+        self,
+        table: TargetTable,
+        clock: Clock,
+        retry_after: RetryAfterScheduler,
+        log: EventLog,
+    ):
+        self._log = log
+        self._table = table
+        self._clock = clock
+        self._retry_after = retry_after
+
+    def check_deadline(self, plan: Plan, runs: int) -> None:
+        """Reject a request whose deadline is too close.
+
+        :param plan: the plan of the request
+        :param runs: number of targets that may have run it
+        :raises RequestError: if no target could answer before the deadline
+        """
+        left = plan.deadline - self._clock.monotonic()
+        if left >= MIN_TIME_LEFT_SECONDS:
+            return
+        if runs:
+            text = "the deadline has passed; a target may have run the request"
+            raise RequestError.of(ErrorKind.TIMEOUT, text, Ran.UNKNOWN)
+        raise self._make_no_target_error(
+            "no target could accept the request before its deadline", 0.5
+        )
+
+    def check_rounds(
+        self, plan: Plan, rounds: int, refused: bool, runs: int
+    ) -> None:
+        """Reject a request that finds no target.
+
+        :param plan: the plan of the request
+        :param rounds: number of rounds that ended without a target to try
+        :param refused: whether any target was tried in the last round
+        :param runs: number of targets that may have run it
+        :raises RequestError: unless another round may find a target
+        """
+        if refused and rounds < MAX_ROUNDS:
+            return
+        if not runs and self._is_barred_by_zone_rules(plan):
+            text = (
+                "the zones of its targets are evacuated or not allowed for it"
+            )
+            raise RequestError.of(ErrorKind.NO_TARGET, text)
+        raise self.make_error(plan, runs, "no target has capacity")
+
+    def _is_barred_by_zone_rules(self, plan: Plan) -> bool:
+        """Return whether zone rules alone exclude all ready targets."""
+        now = self._clock.monotonic()
+        service = plan.service.name
+        if self._table.select(service, now, plan.regions):
+            return False
+        return any(
+            target.service == service and target.state is TargetState.READY
+            for target in self._table
+        )
+
+    def make_error(self, plan: Plan, runs: int, text: str) -> RequestError:
+        """Return the error of a rejected request.
+
+        :param plan: the plan of the request
+        :param runs: number of targets that may have run it
+        :param text: reason for the rejection
+        """
+        if runs:
+            return RequestError.of(ErrorKind.TARGET_FAILED, text, Ran.UNKNOWN)
+        return self._make_no_target_error(text, plan.route.objective / 2)
+
+    def make_over_limit_error(
+        self, plan: Plan, runs: int, rate: float, entries: int
+    ) -> RequestError:
+        """Return the error of a request beyond its targets' rate limits.
+
+        :param plan: the plan of the request
+        :param runs: number of targets that may have run it
+        :param rate: sum of the rate limits, in requests per second
+        :param entries: number of entries that share the rate
+        """
+        if runs:
+            return self.make_error(
+                plan, runs, "the rate limits of all targets are used up"
+            )
+        now = self._clock.monotonic()
+        back = self._retry_after.schedule(
+            plan.service.name, rate, entries, now
+        )
+        self._log_rejection(
+            "over_limit", plan, back, rate=rate, entries=entries
+        )
+        text = f"its targets accept no more than {rate:g} requests per second"
+        return self._make_overload_error(text, back)
+
+    def make_backoff_error(
+        self, plan: Plan, runs: int, seconds: float
+    ) -> RequestError:
+        """Return the error of a request whose targets all back off.
+
+        :param plan: the plan of the request
+        :param runs: number of targets that may have run it
+        :param seconds: time until the first of them accepts requests
+        """
+        text = "all its targets asked this instance to back off"
+        if runs:
+            return self.make_error(plan, runs, text)
+        back = self._retry_after.add_jitter(seconds)
+        self._log_rejection(
+            "all_at_rest", plan, back, first_ms=round(1000 * seconds)
+        )
+        return self._make_overload_error(text, back)
+
+    def _log_rejection(
+        self, event: str, plan: Plan, back: float, **facts
+    ) -> None:
+        self._log.warn(
+            event,
+            id=plan.request.id,
+            service=plan.service.name,
+            team=plan.team,
+            urgency=plan.urgency,
+            back_ms=round(1000 * back),
+            **facts,
+        )
+
+    def _make_overload_error(self, text: str, seconds: float) -> RequestError:
+        pause = datetime.timedelta(seconds=seconds)
+        return RequestError(Failure(ErrorKind.OVERLOADED, text, Ran.NO, pause))
+
+    def _make_no_target_error(self, text: str, seconds: float) -> RequestError:
+        pause = datetime.timedelta(seconds=seconds)
+        return RequestError(Failure(ErrorKind.NO_TARGET, text, Ran.NO, pause))
+
+    def make_lost_error(self, error: Exception) -> RequestError:
+        """Return the error of a request that was lost at its last target.
+
+        :param error: the failure of the send
+        """
+        if isinstance(error, TimeoutError):
+            text = "the target did not answer in time"
+            return RequestError.of(ErrorKind.TIMEOUT, text, Ran.UNKNOWN)
+        text = "the connection to the target broke"
+        return RequestError.of(ErrorKind.TARGET_FAILED, text, Ran.UNKNOWN)
--- a/packages/gateway/src/chivepier/gateway/serving/serving.py
+++ b/packages/gateway/src/chivepier/gateway/serving/requesthandler.py
@@ -1,4 +1,4 @@
-"""Serving one request from its arrival to its end."""
+"""Handling one request from its arrival to its end."""
 
 import asyncio
 
@@ -13,17 +13,17 @@
 from chivepier.types import ErrorKind
 from chivepier.types import RequestError
 
-# Seconds for which requests wait for the first configuration of an entry that
-# has just started.
-FIRST_SECONDS = 0.6
+# Maximum wait of a request for the first configuration of an entry that has
+# just started.
+FIRST_CONFIG_TIMEOUT_SECONDS = 0.6
 
 
-class Serving:
-    """What an entry does for callers.
+class RequestHandler:
+    """Handles the requests of callers at an entry.
 
-    :param state: the configuration in force
-    :param planner: finds route and team
-    :param dispatcher: sends to targets
+    :param state: the active configuration
+    :param planner: determines the route, team and service
+    :param dispatcher: sends requests to targets
     :param metrics: counts requests
     """
 
@@ -41,23 +41,24 @@
         self.active = 0
 
     async def serve(self, request: CallerRequest, caller: CallerPort) -> None:
-        """Answer a request.
+        """Handle a request and relay the answer to the caller.
 
-        :param request: the caller's
-        :param caller: its connection
-        :raises RequestError: when nothing was sent yet and it failed
+        :param request: the request of the caller
+        :param caller: connection to the caller
+        :raises RequestError: if it fails before anything was sent to the
+            caller
         """
         clock, log = self._dispatcher.clock, self._dispatcher.log
         self.active += 1
         outcome, plan = "cancelled", None
         try:
             if self._state.stopping:
-                text = "this instance is about to end"
+                text = "this instance is shutting down"
                 raise RequestError.of(ErrorKind.DRAINING, text)
             if self._state.index is None:
-                await self._state.changed.wait(FIRST_SECONDS)
+                await self._state.changed.wait(FIRST_CONFIG_TIMEOUT_SECONDS)
             plan = self._planner.plan(request)
-            self._check_end(plan)
+            self._check_time_left(plan)
             await self._answer(plan, caller)
             outcome = "answered"
         except RequestError as error:
@@ -66,7 +67,7 @@
         finally:
             self.active -= 1
             seconds = clock.monotonic() - request.arrived
-            team, urgency = _name_class(plan)
+            team, urgency = _get_class_labels(plan)
             self._metrics.note_request(team, urgency, outcome, seconds)
             write = log.info if outcome == "answered" else log.warn
             write(
@@ -78,21 +79,21 @@
                 ms=round(1000 * seconds),
             )
 
-    def _check_end(self, plan: Plan) -> None:
-        """Turn away a generation that would outlast this process.
+    def _check_time_left(self, plan: Plan) -> None:
+        """Reject a generation that would outlast this process.
 
-        Callers come with older addresses for some seconds after the order to
-        stop. Told at once that nothing ran, they come back to another instance
-        at once.
+        For some seconds after the order to stop, callers still use the address
+        of this instance. An immediate error that says that nothing has run
+        lets them retry at another instance at once.
 
-        :raises RequestError: when it can't be finished here
+        :raises RequestError: if the generation can't finish here
         """
         ends_at = self._state.ends_at
         if ends_at is None:
             return
         left = ends_at - self._dispatcher.clock.monotonic()
         if self._dispatcher.runs.estimate(plan) > left:
-            text = "this instance ends before the generation would"
+            text = "this instance shuts down before the generation would end"
             raise RequestError.of(ErrorKind.DRAINING, text)
 
     async def _answer(self, plan: Plan, caller: CallerPort) -> None:
@@ -122,7 +123,7 @@
             caller.abort()
 
 
-def _name_class(plan: Plan | None) -> tuple[str, str]:
+def _get_class_labels(plan: Plan | None) -> tuple[str, str]:
     if plan is None:
         return "", ""
     return plan.team or "", str(plan.urgency)
--- a/packages/gateway/src/chivepier/gateway/serving/retrywindow.py
+++ b/packages/gateway/src/chivepier/gateway/serving/retrywindow.py
@@ -1,4 +1,4 @@
-"""Counts of one service over a sliding window."""
+"""Request counts of one service over a sliding window."""
 
 import collections
 
@@ -13,20 +13,21 @@
 
 @attrs.define
 class RetryWindow:
-    """Requests and repeats of one service; the newest bucket is the last.
+    """Requests and retries of one service; the last bucket is the newest.
 
-    :param requests: that callers sent
-    :param repeats: that this entry sent, those with a loan included
-    :param lent: repeats that were lent
-    :param lent_at: when the last one was, in monotonic seconds
+    :param requests: requests that callers sent, per bucket
+    :param retries: retries that this entry sent, borrowed ones included
+    :param borrowed: retries that this entry borrowed
+    :param borrowed_at: monotonic time of the last loan in seconds; ``None``
+        before the first one
     """
 
     requests: collections.deque[int] = attrs.field(factory=_make_buckets)
-    repeats: collections.deque[int] = attrs.field(factory=_make_buckets)
-    lent: collections.deque[int] = attrs.field(factory=_make_buckets)
-    lent_at: float | None = None
+    retries: collections.deque[int] = attrs.field(factory=_make_buckets)
+    borrowed: collections.deque[int] = attrs.field(factory=_make_buckets)
+    borrowed_at: float | None = None
 
     def advance(self) -> None:
-        """Begin the next bucket; the oldest one counts no more."""
-        for buckets in (self.requests, self.repeats, self.lent):
+        """Start a new bucket and drop the oldest one."""
+        for buckets in (self.requests, self.retries, self.borrowed):
             buckets.append(0)
--- /dev/null
+++ b/packages/gateway/src/chivepier/gateway/serving/targetassigner.py
@@ -0,0 +1,338 @@
+"""Assigning a request to a target that has room for it."""
+
+from chivepier.gateway.eventlog import EventLog
+from chivepier.gateway.permits import Claim
+from chivepier.gateway.serving.assignment import Assignment
+from chivepier.gateway.serving.errors import AllAtRestError
+from chivepier.gateway.serving.errors import NoRoomError
+from chivepier.gateway.serving.errors import NotPermittedError
+from chivepier.gateway.serving.errors import NotSentError
+from chivepier.gateway.serving.errors import OverLimitError
+from chivepier.gateway.serving.guard import Guard
+from chivepier.gateway.serving.plan import Plan
+from chivepier.gateway.serving.queueticket import QueueTicket
+from chivepier.gateway.serving.sendgate import SendGate
+from chivepier.gateway.serving.targetcalls import TargetCalls
+from chivepier.gateway.serving.waitstage import classify_wait
+from chivepier.gateway.serving.waitstage import compute_rank
+from chivepier.gateway.serving.waitstage import MAX_WAIT_OBJECTIVES
+from chivepier.gateway.serving.waitstage import WaitStage
+from chivepier.gateway.targets import LoadBalancer
+from chivepier.gateway.targets import QueueTracker
+from chivepier.gateway.targets import Target
+from chivepier.gateway.targets import TargetHealth
+from chivepier.types import Clock
+
+# Targets asked for a reservation in one round. Load reports are some tens of
+# milliseconds old, so a target ranked second may have room when the first has
+# none.
+MAX_TARGETS_PER_ROUND = 3
+# Interval between two rounds of reservation attempts. At a fully loaded
+# service, each target finishes about one generation a second.
+ROUND_INTERVAL_SECONDS = 0.1
+# Maximum lifetime of a reservation, which has to last until the request has
+# reached the target and has been parsed.
+MAX_RESERVATION_SECONDS = 1.0
+# Maximum wait of a non-streaming call for its turn at a rate-limited target,
+# as a fraction of its latency objective; the rest is left for processing.
+MAX_TURN_WAIT_FRACTION = 0.5
+
+
+class TargetAssigner:
+    """Reserves room at the best target before a request is sent.
+
+    Load reports are some tens of milliseconds old and output lengths are
+    estimates, so a request sent without a reservation may queue at a full
+    target while another one has room. A target answers a reservation at once;
+    a request with a reservation is admitted first and not preempted.
+
+    Requests that find no room wait in the gateway. In the queue of a target
+    they would be lost if it shut down, and requests that have already missed
+    their objective would delay newer ones.
+
+    :param chooser: ranks the targets
+    :param health: tracks unreachable targets
+    :param queues: numbers of requests waiting at all entries
+    :param calls: sends reservations to targets
+    :param guard: tells which requests are held back
+    :param gate: tells what may be sent to which target
+    :param clock: source of monotonic time
+    :param log: receives assignment events
+    """
+
+    def __init__(
+        self,
+        chooser: LoadBalancer,
+        health: TargetHealth,
+        queues: QueueTracker,
+        calls: TargetCalls,
+        guard: Guard,
+        gate: SendGate,
+        clock: Clock,
+        log: EventLog,
+    ):
+        self._chooser = chooser
+        self._health = health
+        self._queues = queues
+        self._calls = calls
+        self._guard = guard
+        self._gate = gate
+        self._clock = clock
+        self._log = log
+
+    async def find_assignment(
+        self, plan: Plan, tried: set[str]
+    ) -> Assignment | None:
+        """Choose a target, with a reservation if it supports them.
+
+        :param plan: the plan of the request
+        :param tried: instances that must not be chosen
+        :returns: the assignment; ``None`` if no target is left or the request
+            is held back
+        :raises NoRoomError: if no target had room before the wait limit
+        :raises OverLimitError: if all targets are rate-limited and can't
+            accept the request in time
+        :raises AllAtRestError: if all targets are backing off for too long
+        """
+        engine = plan.service.engine
+        if plan.demand is None or engine is None or not engine.reserve_seconds:
+            await self._await_backoffs(plan)
+            return await self._assign_unreserved(plan, tried)
+        with QueueTicket(self._queues, plan.service.name) as ticket:
+            while not self._guard.holds(plan):
+                await self._await_backoffs(plan, ticket)
+                if not self._rank_targets(plan, tried):
+                    break
+                stage = self._classify_wait(plan)
+                all_limited = self._check_rate_limits(plan)
+                if stage is WaitStage.OVER:
+                    self._log.info("no_room", id=plan.request.id)
+                    raise NoRoomError
+                for target in self._select_targets(plan, stage, tried):
+                    place = await self._try_target(plan, target, all_limited)
+                    if place is not None:
+                        return place
+                ticket.set_rank(compute_rank(plan, stage))
+                await self._clock.sleep(ROUND_INTERVAL_SECONDS)
+                await self._gate.settle()
+        return None
+
+    async def _await_backoffs(
+        self, plan: Plan, ticket: QueueTicket | None = None
+    ) -> None:
+        """Wait while all targets back off, if one is available soon enough.
+
+        :param plan: the plan of the request
+        :param ticket: counts the request as waiting
+        :raises AllAtRestError: if no target is available in time
+        """
+        service = plan.service.name
+        while True:
+            pause = self._chooser.find_shortest_rest(service, plan.regions)
+            if pause is None:
+                return
+            now = self._clock.monotonic()
+            if now + pause > self._compute_latest_start(plan):
+                raise AllAtRestError(pause)
+            if ticket is not None:
+                ticket.set_rank(self._compute_rank(plan))
+            await self._clock.sleep(pause)
+
+    def _compute_latest_start(self, plan: Plan) -> float:
+        """Return the latest time until which a request waits for a target."""
+        share = (
+            MAX_TURN_WAIT_FRACTION
+            if plan.demand is None
+            else MAX_WAIT_OBJECTIVES
+        )
+        last = plan.request.arrived + share * plan.route.objective
+        return min(last, plan.deadline)
+
+    async def _assign_unreserved(
+        self, plan: Plan, tried: set[str]
+    ) -> Assignment | None:
+        # targets being avoided are ranked once no other is left: they may
+        # have room while all others are rate-limited
+        while ranked := self._rank_targets(plan, tried):
+            place = await self._permit_first(plan, ranked, tried)
+            if place is not None:
+                return place
+        rate = self._sum_rate_limits(plan)
+        if rate is not None:
+            raise OverLimitError(rate)
+        return None
+
+    async def _permit_first(
+        self, plan: Plan, ranked: list[Target], tried: set[str]
+    ) -> Assignment | None:
+        """Return the first target with a permit; add others to ``tried``."""
+        limited = self._gate.find_rates(ranked)
+        patient = len(limited) == len(ranked) and self._are_all_limited(plan)
+        claim = self._make_claim(plan, patient)
+        asked = 0
+        for target in ranked:
+            # each permit request delays the caller's request, and all
+            # targets may be rate-limited
+            left_out = (
+                target.instance in limited and asked >= MAX_TARGETS_PER_ROUND
+            )
+            if not left_out and self._gate.find_pause(target, claim) is None:
+                asked += target.instance in limited
+                permit = await self._gate.take_permit(
+                    plan.service, target, claim
+                )
+                if permit is not None:
+                    return Assignment(target, None, permit)
+            tried.add(target.instance)
+        return None
+
+    def _are_all_limited(self, plan: Plan) -> bool:
+        return self._sum_rate_limits(plan) is not None
+
+    def _sum_rate_limits(self, plan: Plan) -> float | None:
+        """Return the sum of the rate limits of all targets.
+
+        :returns: requests per second; ``None`` unless every target is
+            rate-limited
+        """
+        if not self._gate.knows_limits:
+            return None
+        # includes targets being avoided, which announce no limit
+        found = self._chooser.select(plan.service.name, plan.regions)
+        rates = self._gate.find_rates(found)
+        if not rates or len(rates) < len(found):
+            return None
+        return sum(rates.values())
+
+    def _compute_rank(self, plan: Plan) -> int:
+        if plan.demand is None:
+            return plan.urgency
+        return compute_rank(plan, self._classify_wait(plan))
+
+    def _make_claim(self, plan: Plan, patient: bool) -> Claim:
+        """Build the claim of a request for a turn at a rate-limited target.
+
+        A non-streaming call waits for its turn for a fraction of its latency
+        objective. A generation claims a turn again in each round.
+
+        :param plan: the plan of the request
+        :param patient: whether to wait for the turn, as no target without a
+            rate limit is left
+        """
+        patience = 0.0
+        if patient and plan.demand is None:
+            waited = self._clock.monotonic() - plan.request.arrived
+            patience = MAX_TURN_WAIT_FRACTION * plan.route.objective - waited
+        elif patient:
+            patience = ROUND_INTERVAL_SECONDS
+        rank = self._compute_rank(plan)
+        return Claim(plan.team or "", rank, max(0.0, patience))
+
+    async def _try_target(
+        self, plan: Plan, target: Target, patient: bool
+    ) -> Assignment | None:
+        claim = self._make_claim(plan, patient)
+        permit = await self._gate.take_permit(plan.service, target, claim)
+        if permit is None:
+            return None
+        if self._gate.find_rate(target) is not None:
+            # a reservation would count against its rate limit
+            return Assignment(target, None, permit)
+        reservation = await self._reserve(plan, target)
+        if reservation is None:
+            return None
+        return Assignment(target, reservation, permit)
+
+    def _check_rate_limits(self, plan: Plan) -> bool:
+        """Reject a request that rate-limited targets can't accept in time.
+
+        :param plan: the plan of the request
+        :returns: whether all targets are rate-limited
+        :raises OverLimitError: if all targets are rate-limited and the
+            requests ahead use up their rate until the request's latest start
+        """
+        rate = self._sum_rate_limits(plan)
+        if rate is None:
+            return False
+        now = self._clock.monotonic()
+        # requests of its own rank are ahead as well: they came earlier
+        rank = self._compute_rank(plan) + 1
+        ahead = self._queues.count_ahead(plan.service.name, rank, now)
+        seconds = self._compute_latest_start(plan) - now
+        if ahead > rate * seconds:
+            raise OverLimitError(rate)
+        return True
+
+    def _classify_wait(self, plan: Plan) -> WaitStage:
+        reading = self._chooser.prefill_estimator.estimate(
+            plan.service.name, plan.demand.prompt
+        )
+        return classify_wait(plan, self._clock.monotonic(), reading)
+
+    def _select_targets(
+        self, plan: Plan, stage: WaitStage, tried: set[str]
+    ) -> list[Target]:
+        """Return the targets to ask for a reservation in this round."""
+        if stage is not WaitStage.PRESSING and not self._has_spare_room(
+            plan, stage
+        ):
+            return []
+        claim = self._make_claim(plan, patient=False)
+        found = [
+            target
+            for target in self._rank_targets(plan, tried, roomy=True)
+            if self._gate.find_pause(target, claim) is None
+        ]
+        return found[:MAX_TARGETS_PER_ROUND]
+
+    def _has_spare_room(self, plan: Plan, stage: WaitStage) -> bool:
+        """Return whether there is room besides that for requests ahead.
+
+        Generations on targets that are leaving go before waiting requests:
+        unless they are moved within the notice period, they are lost and
+        their prompts have to be prefilled again.
+        """
+        service = plan.service
+        now = self._clock.monotonic()
+        rank = compute_rank(plan, stage)
+        ahead = self._queues.count_ahead(service.name, rank, now)
+        ahead += self._chooser.count_leaving(service.name)
+        places = self._chooser.count_free_places(
+            service.name, service.engine, plan.demand, plan.regions
+        )
+        return places > ahead
+
+    def _rank_targets(
+        self, plan: Plan, tried: set[str], roomy: bool = False
+    ) -> list[Target]:
+        service = plan.service
+        return self._chooser.rank(
+            service.name,
+            service.engine,
+            plan.demand,
+            tried,
+            roomy=roomy,
+            regions=plan.regions,
+        )
+
+    async def _reserve(self, plan: Plan, target: Target) -> str | None:
+        seconds = min(
+            MAX_RESERVATION_SECONDS, plan.service.engine.reserve_seconds
+        )
+        try:
+            return await self._calls.reserve(
+                target, plan.demand.near_term_tokens, seconds
+            )
+        except NotPermittedError:
+            # the permission was withdrawn meanwhile, which is no failure of
+            # the target
+            return None
+        except NotSentError as error:
+            self._chooser.avoid_unreachable(target.instance)
+            self._log.warn(
+                "reserve_failed",
+                id=plan.request.id,
+                target=target.instance,
+                error=str(error),
+            )
+            return None
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_stopping.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_stopping.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from chivepier.gateway.serving import Moved
 from chivepier.gateway.serving import MoveOutcome
+from chivepier.gateway.serving import MoveResult
 from chivepier.gateway.serving.tests.parts import begin
 from chivepier.gateway.serving.tests.parts import finish
 from chivepier.gateway.serving.tests.parts import play
@@ -26,7 +26,7 @@
             parts.engines.full.add(find_other(run.target))
             parts.engines.copies.add((source, "h-r1"))
 
-        parts.engines.at_stop(fill)
+        parts.engines.on_stop_order(fill)
         parts.leave(run.target)
         fresh = await parts.engines.wait_run(2)
         assert fresh.target == run.target
@@ -43,9 +43,9 @@
 
         def end():
             run.end()
-            return Moved(MoveOutcome.NO_RUN)
+            return MoveResult(MoveOutcome.NO_RUN)
 
-        parts.engines.at_stop(end)
+        parts.engines.on_stop_order(end)
         parts.leave(run.target)
         await task
         await wait_until(lambda: parts.engines.dropped)
@@ -64,9 +64,9 @@
 
         def die():
             run.cut()
-            return Moved(MoveOutcome.FAILED)
+            return MoveResult(MoveOutcome.FAILED)
 
-        parts.engines.at_stop(die)
+        parts.engines.on_stop_order(die)
         parts.leave(run.target)
         fresh = await parts.engines.wait_run(2)
         assert fresh.target != run.target
@@ -86,9 +86,9 @@
             run.make(1)
             run.end()
             parts.engines.copies.clear()
-            parts.engines.dark.add(run.target)
+            parts.engines.unreachable.add(run.target)
 
-        parts.engines.at_stop(end_whole)
+        parts.engines.on_stop_order(end_whole)
         parts.leave(run.target)
         await task
         assert caller.numbers == [1, 2, 3]
@@ -111,9 +111,9 @@
             parts.engines.full.add(other)
             parts.engines.copies.clear()
             refused.append(other)
-            return Moved(outcome)
+            return MoveResult(outcome)
 
-        parts.engines.at_stop(refuse)
+        parts.engines.on_stop_order(refuse)
         parts.leave(run.target)
         await wait_until(lambda: refused and not run.stopped)
         run.make(1)
@@ -137,9 +137,9 @@
         def lose():
             run.make(1)
             run.end()
-            return Moved(MoveOutcome.FAILED)
+            return MoveResult(MoveOutcome.FAILED)
 
-        parts.engines.at_stop(lose)
+        parts.engines.on_stop_order(lose)
         parts.leave(run.target)
         if not framed:
             fresh = await parts.engines.wait_run(2)
@@ -161,9 +161,9 @@
 
         def end_whole():
             run.end()
-            parts.engines.dark.add(run.target)
+            parts.engines.unreachable.add(run.target)
 
-        parts.engines.at_stop(end_whole)
+        parts.engines.on_stop_order(end_whole)
         parts.leave(run.target)
         await task
         await wait_until(lambda: not parts.mover.busy)
@@ -185,9 +185,9 @@
             if lost:
                 return None
             lost.append(run.make(1))
-            return Moved(MoveOutcome.NOT_SENT)
+            return MoveResult(MoveOutcome.NOT_SENT)
 
-        parts.engines.at_stop(lose_first)
+        parts.engines.on_stop_order(lose_first)
         parts.leave(run.target)
         fresh = await parts.engines.wait_run(2)
         assert run.stopped and lost
@@ -203,9 +203,9 @@
 
         def die():
             run.cut()
-            parts.engines.dark.add(run.target)
+            parts.engines.unreachable.add(run.target)
 
-        parts.engines.at_stop(die)
+        parts.engines.on_stop_order(die)
         parts.leave(run.target)
         fresh = await parts.engines.wait_run(2)
         assert fresh.target != run.target
