--- a/packages/gateway/src/chivepier/gateway/entry/entry.py
+++ b/packages/gateway/src/chivepier/gateway/entry/entry.py
@@ -22,18 +22,18 @@
 from chivepier.gateway.permits import Permits
 from chivepier.gateway.quarantine import Quarantine
 from chivepier.gateway.serving import BodyRoom
+from chivepier.gateway.serving import CrashGuard
 from chivepier.gateway.serving import Dispatcher
-from chivepier.gateway.serving import Guard
+from chivepier.gateway.serving import HeaderRecorder
 from chivepier.gateway.serving import Mover
 from chivepier.gateway.serving import Planner
-from chivepier.gateway.serving import Remarks
 from chivepier.gateway.serving import RetryBudget
 from chivepier.gateway.serving import Returns
 from chivepier.gateway.serving import SendGate
 from chivepier.gateway.serving import Serving
 from chivepier.gateway.serving import ServingState
 from chivepier.gateway.serving import TargetCalls
-from chivepier.gateway.serving import TargetPort
+from chivepier.gateway.serving import TargetClient
 from chivepier.gateway.settings import EntrySettings
 from chivepier.gateway.targets import Chooser
 from chivepier.gateway.targets import Leavers
@@ -76,7 +76,7 @@
     def __init__(
         self,
         settings: EntrySettings,
-        port: TargetPort,
+        port: TargetClient,
         decode: Decode,
         clock: Clock,
         log: EventLog,
@@ -131,7 +131,7 @@
             self.metrics,
         )
         leavers = Leavers(self.table)
-        remarks = Remarks(
+        remarks = HeaderRecorder(
             self.limits,
             self.rests,
             leavers,
@@ -150,7 +150,7 @@
             log,
             self.metrics,
         )
-        guard = Guard(self.quarantine, clock)
+        guard = CrashGuard(self.quarantine, clock)
         self.mover = Mover(
             calls,
             chooser,
--- a/packages/gateway/src/chivepier/gateway/serving/answerfacts.py
+++ b/packages/gateway/src/chivepier/gateway/serving/answerfacts.py
@@ -27,9 +27,9 @@
 
     not_run: bool = False
     other_instance: str | None = None
-    crossed: bool = False
+    mismatched: bool = False
     framed: bool = True
     limit: Limit | None = NoLimit()
     rest: Rest = NoRest()
     leaving: bool = False
-    unread: tuple[str, ...] = ()
+    unknown_headers: tuple[str, ...] = ()
--- a/packages/gateway/src/chivepier/gateway/serving/callerport.py
+++ b/packages/gateway/src/chivepier/gateway/serving/callerconnection.py
@@ -3,7 +3,7 @@
 import typing
 
 
-class CallerPort(typing.Protocol):
+class CallerConnection(typing.Protocol):
     """What serving needs of a caller's connection."""
 
     async def begin(
--- a/packages/gateway/src/chivepier/gateway/serving/errand.py
+++ b/packages/gateway/src/chivepier/gateway/serving/callpurpose.py
@@ -3,7 +3,7 @@
 import enum
 
 
-class Errand(enum.Enum):
+class CallPurpose(enum.Enum):
     """What may be sent to a target depends on it.
 
     ``START`` is new work: a request, or a reservation for one. ``GO_ON`` is a
@@ -12,5 +12,5 @@
     """
 
     START = "start"
-    GO_ON = "go_on"
-    ORDER = "order"
+    RESUME = "go_on"
+    CONTROL = "order"
--- a/packages/gateway/src/chivepier/gateway/serving/copyturns.py
+++ b/packages/gateway/src/chivepier/gateway/serving/copyturns.py
@@ -5,7 +5,7 @@
 import contextlib
 
 from chivepier.gateway.serving.liverun import LiveRun
-from chivepier.gateway.serving.liverun import milliseconds
+from chivepier.gateway.serving.liverun import to_milliseconds
 from chivepier.gateway.targets import LoadBoard
 from chivepier.types import Clock
 
@@ -69,8 +69,8 @@
         self._board.take_turn(source, 0)
 
     def _tell(self, source: str) -> None:
-        seconds = sum(run.copy_seconds() for run in self._due[source])
-        self._board.take_turn(source, milliseconds(seconds))
+        seconds = sum(run.estimate_copy_seconds() for run in self._due[source])
+        self._board.take_turn(source, to_milliseconds(seconds))
 
     @contextlib.asynccontextmanager
     async def take(
@@ -89,12 +89,12 @@
 
     async def _wait(self, source: str, run: LiveRun) -> None:
         known = self._told[source] + EXCHANGE_SECONDS
-        await run.await_loss(max(0.0, known - self._clock.monotonic()))
+        await run.wait_for_loss(max(0.0, known - self._clock.monotonic()))
         began = self._clock.monotonic()
         before = self._board.before(source, began)
         end = began + min(before / 1000, MOST_SECONDS)
         while before and self._clock.monotonic() < end:
-            await run.await_loss(LOOK_SECONDS)
+            await run.wait_for_loss(LOOK_SECONDS)
             if run.lost.is_set():
                 return
             before = self._board.before(source, self._clock.monotonic())
--- a/packages/gateway/src/chivepier/gateway/serving/guard.py
+++ b/packages/gateway/src/chivepier/gateway/serving/crashguard.py
@@ -14,7 +14,7 @@
 from chivepier.types import RequestError
 
 
-class Guard:
+class CrashGuard:
     """Asked before each send, and told what came of it.
 
     Before each one: what waited for room, was lost at one target or goes on
@@ -28,7 +28,7 @@
         self._quarantine = quarantine
         self._clock = clock
 
-    def holds(self, plan: Plan) -> bool:
+    def is_held(self, plan: Plan) -> bool:
         """Tell whether a request must not be sent to a target."""
         # digests cost some microseconds, and hardly ever is anything held
         quarantine = self._quarantine
@@ -42,7 +42,7 @@
         :raises RequestError: with when it may be sent again; that it has not
             run is said only where no target had it
         """
-        if not self.holds(plan):
+        if not self.is_held(plan):
             return
         hold = self._quarantine.find_hold(plan.digest)
         self._quarantine.note_refused(plan.request.id, plan.team or "", hold)
@@ -57,9 +57,9 @@
         self,
         plan: Plan,
         target: Target,
-        sent: float,
-        begun: float | None,
-        broke: bool,
+        sent_at: float,
+        first_event_at: float | None,
+        disconnected: bool,
     ) -> None:
         """Take that a target was lost under a request.
 
@@ -75,14 +75,14 @@
                 digest=plan.digest,
                 team=plan.team,
                 target=target,
-                sent=sent,
-                begun=begun,
-                broke=broke,
+                sent=sent_at,
+                begun=first_event_at,
+                broke=disconnected,
                 at=self._clock.monotonic(),
             )
         )
 
-    async def settle(self, plan: Plan, target: Target) -> None:
+    async def wait_for_verdict(self, plan: Plan, target: Target) -> None:
         """Wait for a moment until it is known why a request was lost."""
         await self._quarantine.settle(plan.digest, target)
 
--- a/packages/gateway/src/chivepier/gateway/serving/dispatcher.py
+++ b/packages/gateway/src/chivepier/gateway/serving/dispatcher.py
@@ -4,29 +4,29 @@
 
 from chivepier.gateway.eventlog import EventLog
 from chivepier.gateway.quarantine import shorten
-from chivepier.gateway.serving.errand import Errand
+from chivepier.gateway.serving.callpurpose import CallPurpose
+from chivepier.gateway.serving.crashguard import CrashGuard
 from chivepier.gateway.serving.errors import AllAtRestError
-from chivepier.gateway.serving.errors import AnswerCutError
-from chivepier.gateway.serving.errors import LostError
-from chivepier.gateway.serving.errors import NoRoomError
+from chivepier.gateway.serving.errors import BrokenAnswerError
+from chivepier.gateway.serving.errors import ConnectionLostError
+from chivepier.gateway.serving.errors import NoCapacityError
 from chivepier.gateway.serving.errors import NotPermittedError
 from chivepier.gateway.serving.errors import NotSentError
-from chivepier.gateway.serving.errors import OverLimitError
-from chivepier.gateway.serving.guard import Guard
+from chivepier.gateway.serving.errors import RateLimitedError
+from chivepier.gateway.serving.headerrecorder import describe_rest
 from chivepier.gateway.serving.liverun import LiveRun
 from chivepier.gateway.serving.mover import Mover
 from chivepier.gateway.serving.place import Place
 from chivepier.gateway.serving.placing import Placing
 from chivepier.gateway.serving.plan import Plan
 from chivepier.gateway.serving.refusals import Refusals
-from chivepier.gateway.serving.remarks import describe_rest
 from chivepier.gateway.serving.retrybudget import RetryBudget
 from chivepier.gateway.serving.returns import Returns
-from chivepier.gateway.serving.runwatch import RunWatch
+from chivepier.gateway.serving.runtracker import RunTracker
 from chivepier.gateway.serving.sendgate import SendGate
-from chivepier.gateway.serving.sendorder import SendOrder
-from chivepier.gateway.serving.sent import Sent
+from chivepier.gateway.serving.sendoptions import SendOptions
 from chivepier.gateway.serving.servingstate import ServingState
+from chivepier.gateway.serving.startedanswer import StartedAnswer
 from chivepier.gateway.serving.targetanswer import TargetAnswer
 from chivepier.gateway.serving.targetcalls import TargetCalls
 from chivepier.gateway.targets import Chooser
@@ -38,10 +38,10 @@
 from chivepier.types import Clock
 
 # Objectives after which an attempt that could be repeated is given up.
-PATIENCE = 2.0
+ATTEMPT_TIMEOUT_OBJECTIVES = 2.0
 # A target that refused may have room again after so many seconds.
-REFUSED_PAUSE = 0.03
-SERVER_ERROR = 500
+REFUSED_RETRY_SECONDS = 0.03
+SERVER_ERROR_STATUS = 500
 # Urgency at a target of all generations that start there. By class, a short
 # answer would preempt a long one, whose whole prompt is then read again.
 START_URGENCY = 5
@@ -78,7 +78,7 @@
         mover: Mover,
         calls: TargetCalls,
         budget: RetryBudget,
-        guard: Guard,
+        guard: CrashGuard,
         gate: SendGate,
         returns: Returns,
         clock: Clock,
@@ -95,13 +95,13 @@
         self.gate = gate
         self.clock = clock
         self.log = log
-        self.runs = RunWatch(board, mover, chooser.pace, clock)
+        self.runs = RunTracker(board, mover, chooser.pace, clock)
         self._refusals = Refusals(table, clock, returns, log)
         self._placing = Placing(
             chooser, health, queues, calls, guard, gate, clock, log
         )
 
-    async def dispatch(self, plan: Plan) -> Sent:
+    async def dispatch(self, plan: Plan) -> StartedAnswer:
         """Send a request until a target runs it.
 
         :param plan: what to do
@@ -111,11 +111,11 @@
         """
         tried: set[str] = set()
         runs = rounds = 0
-        paid = True
+        retry_counted = True
         while True:
             self._refusals.check_time(plan, runs)
             self.guard.check(plan, runs)
-            await self.gate.settle()
+            await self.gate.wait_fresh()
             place = await self._find_place(plan, tried, runs)
             # it may have waited for long
             self.guard.check(plan, runs)
@@ -123,54 +123,58 @@
                 rounds += 1
                 self._refusals.check_rounds(plan, rounds, bool(tried), runs)
                 tried.clear()
-                await self.clock.sleep(REFUSED_PAUSE * rounds)
+                await self.clock.sleep(REFUSED_RETRY_SECONDS * rounds)
                 continue
-            if not paid and not self.take_repeat(plan):
+            if not retry_counted and not self.take_retry(plan):
                 raise self._refusals.give_up(plan, runs, "no repeats are left")
-            paid = False
-            self._note_place(plan, place)
+            retry_counted = False
+            self._log_placement(plan, place)
             target = place.target
             tried.add(target.instance)
-            more = plan.repeatable and runs + 1 < plan.route.attempts
+            may_retry = plan.repeatable and runs + 1 < plan.route.attempts
             try:
-                sent = await self._try(plan, place, more)
+                started = await self._attempt(plan, place, may_retry)
             except NotSentError as error:
                 self._note_not_sent(plan, target, error)
                 # nothing arrived anywhere: the next send is no repeat
-                paid = True
+                retry_counted = True
                 continue
-            except (LostError, AnswerCutError, TimeoutError) as error:
+            except (
+                ConnectionLostError,
+                BrokenAnswerError,
+                TimeoutError,
+            ) as error:
                 runs += 1
-                if not more:
+                if not may_retry:
                     self.guard.check(plan, runs)
                     raise self._refusals.explain_loss(error) from None
-                await self.guard.settle(plan, target)
+                await self.guard.wait_for_verdict(plan, target)
                 continue
-            if self._refused(plan, target, sent.answer):
-                self.end(sent)
+            if self._is_refused(plan, target, started.answer):
+                self.release(started)
                 continue
             runs += 1
-            if sent.answer.status < SERVER_ERROR:
-                if sent.run is None:
-                    self.guard.note_answered(plan, sent.answer.facts)
-                return sent
-            if not more:
-                return sent
+            if started.answer.status < SERVER_ERROR_STATUS:
+                if started.run is None:
+                    self.guard.note_answered(plan, started.answer.facts)
+                return started
+            if not may_retry:
+                return started
             # without a repeat, the target's own answer says more than ours
-            paid = self._has_time(plan) and self.take_repeat(plan)
-            if not paid:
-                return sent
-            self.end(sent)
+            retry_counted = self._has_time(plan) and self.take_retry(plan)
+            if not retry_counted:
+                return started
+            self.release(started)
 
     async def _find_place(
         self, plan: Plan, tried: set[str], runs: int
     ) -> Place | None:
         try:
             return await self._placing.find(plan, tried)
-        except NoRoomError:
+        except NoCapacityError:
             text = "no target has room"
             raise self._refusals.give_up(plan, runs, text) from None
-        except OverLimitError as error:
+        except RateLimitedError as error:
             raise self._refusals.give_up_over_limit(
                 plan, runs, error.rate, self.state.entries
             ) from None
@@ -183,7 +187,7 @@
         self, plan: Plan, target: Target, error: NotSentError
     ) -> None:
         if not isinstance(error, NotPermittedError):
-            self._note_silence(target)
+            self._avoid_target(target)
         self.log.warn(
             "target_not_sent",
             id=plan.request.id,
@@ -192,7 +196,7 @@
             error=repr(error),
         )
 
-    def _note_place(self, plan: Plan, place: Place) -> None:
+    def _log_placement(self, plan: Plan, place: Place) -> None:
         target, demand = place.target, plan.demand
         load = self.chooser.find_load(target.instance)
         now = self.clock.monotonic()
@@ -214,80 +218,88 @@
         left = plan.deadline - self.clock.monotonic()
         return left > plan.route.objective / 4
 
-    def take_repeat(self, plan: Plan) -> bool:
+    def take_retry(self, plan: Plan) -> bool:
         """Count one more send of a request, if the budget has one left."""
         now = self.clock.monotonic()
         return self.budget.take(plan.service.name, now, self.state.entries)
 
-    def end(self, sent: Sent) -> None:
+    def release(self, started: StartedAnswer) -> None:
         """Give back what an answer holds."""
-        if sent.run is not None:
-            self.runs.unwatch(sent.run)
-            sent.answer.close()
-        self.chooser.end(sent.target.instance)
+        if started.run is not None:
+            self.runs.untrack(started.run)
+            started.answer.close()
+        self.chooser.end(started.target.instance)
 
-    async def _try(self, plan: Plan, place: Place, more: bool) -> Sent:
+    async def _attempt(
+        self, plan: Plan, place: Place, may_retry: bool
+    ) -> StartedAnswer:
         target = place.target
         seconds = plan.deadline - self.clock.monotonic()
-        if more:
-            seconds = min(seconds, PATIENCE * plan.route.objective)
+        if may_retry:
+            seconds = min(
+                seconds, ATTEMPT_TIMEOUT_OBJECTIVES * plan.route.objective
+            )
         run = None
         if plan.demand is not None:
             run = self.runs.start(plan, target)
         self.chooser.begin(target.instance)
-        began = self.clock.monotonic()
+        sent_at = self.clock.monotonic()
         answer: TargetAnswer | None = None
         try:
-            async with run.bound(seconds) if run else asyncio.timeout(seconds):
+            async with (
+                run.limit_wait(seconds) if run else asyncio.timeout(seconds)
+            ):
                 answer = await self.calls.send(
                     target,
                     plan.request,
-                    self._order(plan, place),
-                    Errand.START,
+                    self._build_options(plan, place),
+                    CallPurpose.START,
                     place.permit,
                 )
-                sent = await self._read(plan, target, answer, run)
+                started = await self._read_answer(plan, target, answer, run)
         except BaseException as error:
-            if isinstance(error, (LostError, AnswerCutError, TimeoutError)):
-                begun = run.began if run else None
-                self._note_silence(target)
-                self.note_lost(plan, target, began, begun, error)
+            if isinstance(
+                error, (ConnectionLostError, BrokenAnswerError, TimeoutError)
+            ):
+                first_event_at = run.first_event_at if run else None
+                self._avoid_target(target)
+                self.note_lost(plan, target, sent_at, first_event_at, error)
             if answer is not None:
                 answer.close()
             if run is not None:
-                self.runs.give_up(run)
+                self.runs.abandon(run)
             self.chooser.end(target.instance)
             raise
-        self._note_answer(plan, sent, began)
-        return sent
+        self._note_answer(plan, started, sent_at)
+        return started
 
-    async def _read(
+    async def _read_answer(
         self,
         plan: Plan,
         target: Target,
         answer: TargetAnswer,
         run: LiveRun | None,
-    ) -> Sent:
-        if answer.facts.crossed:
-            raise AnswerCutError("an answer to another request")
+    ) -> StartedAnswer:
+        if answer.facts.mismatched:
+            raise BrokenAnswerError("an answer to another request")
         if plan.route.streaming and answer.status < 300:
             # the head alone promises nothing: until the first event the
             # request can still be sent elsewhere
             first = await answer.read()
             if run is None:
                 run = self.runs.start(plan, target)
-            self.runs.note_begun(run)
-            return Sent(target, answer, first, run)
+            self.runs.note_first_event(run)
+            return StartedAnswer(target, answer, first, run)
         parts = []
         while data := await answer.read():
             parts.append(data)
         answer.release()
         if run is not None:
-            self.runs.give_up(run)
-        return Sent(target, answer, b"".join(parts))
+            self.runs.abandon(run)
+        return StartedAnswer(target, answer, b"".join(parts))
 
-    def _order(self, plan: Plan, place: Place) -> SendOrder:
-        return SendOrder(
+    def _build_options(self, plan: Plan, place: Place) -> SendOptions:
+        return SendOptions(
             reservation=place.reservation,
             seconds=plan.deadline - self.clock.monotonic(),
             team=plan.team,
@@ -296,7 +308,7 @@
             once=not plan.repeatable,
         )
 
-    def _refused(
+    def _is_refused(
         self, plan: Plan, target: Target, answer: TargetAnswer
     ) -> bool:
         facts = answer.facts
@@ -315,22 +327,24 @@
         )
         return True
 
-    def _note_answer(self, plan: Plan, sent: Sent, began: float) -> None:
+    def _note_answer(
+        self, plan: Plan, started: StartedAnswer, sent_at: float
+    ) -> None:
         now = self.clock.monotonic()
-        failed = sent.answer.status >= SERVER_ERROR
+        failed = started.answer.status >= SERVER_ERROR_STATUS
         slowness = 0.0
         if plan.demand is None:
-            slowness = (now - began) / plan.route.objective
-        if self.table.is_current(sent.target):
-            instance = sent.target.instance
+            slowness = (now - sent_at) / plan.route.objective
+        if self.table.is_current(started.target):
+            instance = started.target.instance
             self.health.note_answer(instance, failed, slowness, now)
 
     def note_lost(
         self,
         plan: Plan,
         target: Target,
-        sent: float,
-        begun: float | None,
+        sent_at: float,
+        first_event_at: float | None,
         error: BaseException,
     ) -> None:
         """Note that a target broke off, or fell silent, under a request.
@@ -352,14 +366,18 @@
             born=target.born,
             address=target.address,
             leaving=self.table.leaves(target.instance),
-            sent_ms=round(1000 * (now - sent)),
-            begun_ms=None if begun is None else round(1000 * (now - begun)),
+            sent_ms=round(1000 * (now - sent_at)),
+            begun_ms=(
+                None
+                if first_event_at is None
+                else round(1000 * (now - first_event_at))
+            ),
             error=repr(error),
         )
         broke = not isinstance(error, TimeoutError)
-        self.guard.note_lost(plan, target, sent, begun, broke)
+        self.guard.note_lost(plan, target, sent_at, first_event_at, broke)
 
-    def _note_silence(self, target: Target) -> None:
+    def _avoid_target(self, target: Target) -> None:
         if self.table.is_current(target):
             # one that has started again is not avoided for what its earlier
             # life left unanswered
--- a/packages/gateway/src/chivepier/gateway/serving/errors.py
+++ b/packages/gateway/src/chivepier/gateway/serving/errors.py
@@ -9,11 +9,11 @@
     """The request must not be sent to this target now."""
 
 
-class NoRoomError(Exception):
+class NoCapacityError(Exception):
     """No target had room for as long as the request could wait."""
 
 
-class OverLimitError(Exception):
+class RateLimitedError(Exception):
     """All targets that are left are in need, and take no more now.
 
     :param rate: requests a second that they take together
@@ -35,9 +35,9 @@
         self.seconds = seconds
 
 
-class LostError(Exception):
+class ConnectionLostError(Exception):
     """The connection broke before an answer: it may have run."""
 
 
-class AnswerCutError(Exception):
+class BrokenAnswerError(Exception):
     """An answer began and broke off, or is not one to this request."""
--- a/packages/gateway/src/chivepier/gateway/serving/eventsplitter.py
+++ b/packages/gateway/src/chivepier/gateway/serving/eventsplitter.py
@@ -1,7 +1,7 @@
 """Cutting a stream of bytes into whole events."""
 
 # Two line ends in a row end an event; targets may use either form.
-ENDS = (b"\n\n", b"\r\n\r\n")
+EVENT_TERMINATORS = (b"\n\n", b"\r\n\r\n")
 
 
 class EventSplitter:
@@ -19,7 +19,7 @@
     """
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._partial = b""
 
     def feed(self, data: bytes) -> list[tuple[bytes, int | None]]:
         """Take bytes and return the events that they complete.
@@ -27,26 +27,30 @@
         :param data: the next bytes of the stream
         :returns: each event's bytes, and its number where it has one
         """
-        data = self._rest + data
+        data = self._partial + data
         events = []
         while (end := _find_end(data)) > 0:
             event, data = data[:end], data[end:]
-            events.append((event, read_number(event)))
-        self._rest = data
+            events.append((event, parse_event_number(event)))
+        self._partial = data
         return events
 
-    def take_rest(self) -> bytes:
+    def take_remainder(self) -> bytes:
         """Return what no event's end followed."""
-        rest, self._rest = self._rest, b""
+        rest, self._partial = self._partial, b""
         return rest
 
 
 def _find_end(data: bytes) -> int:
-    ends = [data.find(mark) + len(mark) for mark in ENDS if mark in data]
+    ends = [
+        data.find(mark) + len(mark)
+        for mark in EVENT_TERMINATORS
+        if mark in data
+    ]
     return min(ends, default=0)
 
 
-def read_number(event: bytes) -> int | None:
+def parse_event_number(event: bytes) -> int | None:
     """Read an event's number.
 
     :param event: its bytes
--- a/packages/gateway/src/chivepier/gateway/serving/contact.py
+++ b/packages/gateway/src/chivepier/gateway/serving/exchange.py
@@ -5,7 +5,7 @@
 from chivepier.gateway.serving.answerfacts import AnswerFacts
 
 
-class Contact(typing.Protocol):
+class Exchange(typing.Protocol):
     """Asked right before bytes go out, and told what comes back.
 
     What was decided before a connection stood may be wrong by then.
@@ -17,5 +17,5 @@
         :raises NotPermittedError: when it must not be
         """
 
-    def hear(self, facts: AnswerFacts) -> None:
+    def record_head(self, facts: AnswerFacts) -> None:
         """Take what the head of the answer says of the target."""
--- a/packages/gateway/src/chivepier/gateway/serving/handoff.py
+++ b/packages/gateway/src/chivepier/gateway/serving/handoff.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from chivepier.gateway.serving.origin import Origin
+from chivepier.gateway.serving.kvorigin import KvOrigin
 from chivepier.gateway.targets import Target
 
 
@@ -15,4 +15,4 @@
     """
 
     target: Target
-    origin: Origin | None
+    origin: KvOrigin | None
--- a/packages/gateway/src/chivepier/gateway/serving/remarks.py
+++ b/packages/gateway/src/chivepier/gateway/serving/headerrecorder.py
@@ -17,14 +17,14 @@
 from chivepier.types import Clock
 
 # Headers that are counted by name; a target could make up any number.
-MOST_UNREAD = 32
+MAX_UNKNOWN_HEADERS = 32
 # What a limit that is no number is counted as.
-UNREAD_LIMIT = "limit that is no number"
+INVALID_LIMIT = "limit that is no number"
 # The same of a time in which a target wants nothing.
-UNREAD_REST = "rest that is no number"
+INVALID_REST = "rest that is no number"
 
 
-class Remarks:
+class HeaderRecorder:
     """Notes what each answer's head says of its target.
 
     A header that nothing reads may be a new word that all entries need: its
@@ -56,13 +56,13 @@
         self._clock = clock
         self._log = log
         self._metrics = metrics
-        self._unread: set[str] = set()
+        self._unknown_headers: set[str] = set()
 
-    def find_word(self, target: Target) -> LimitWord | None:
+    def find_limit(self, target: Target) -> LimitWord | None:
         """Return what is believed of a target's limit."""
         return self._limits.find(target.instance, target.born)
 
-    def take(
+    def record(
         self, target: Target, facts: AnswerFacts, known: LimitWord | None
     ) -> None:
         """Note an answer's head.
@@ -74,21 +74,21 @@
         :param facts: read from the head
         :param known: what was believed of its limit when it was sent to
         """
-        for name in facts.unread:
-            self._note_unread(target, name.lower())
+        for name in facts.unknown_headers:
+            self._count_unknown_header(target, name.lower())
         if facts.other_instance is not None:
             other = self._table.get(facts.other_instance)
             if facts.leaving and other is not None:
-                self._note_leaving(other)
+                self._record_leaving(other)
             return
         if facts.leaving:
-            self._note_leaving(target)
-        self._take_rest(target, facts.rest)
+            self._record_leaving(target)
+        self._record_rest(target, facts.rest)
         match facts.limit:
             case None:
                 pass
             case UnreadLimit():
-                self._note_unread(target, UNREAD_LIMIT)
+                self._count_unknown_header(target, INVALID_LIMIT)
             case limit:
                 self._limits.note(
                     target.instance,
@@ -98,7 +98,7 @@
                     self._clock.monotonic(),
                 )
 
-    def _note_leaving(self, target: Target) -> None:
+    def _record_leaving(self, target: Target) -> None:
         if self._leavers.note(target, self._clock.monotonic()):
             self._log.info(
                 "leaving_told",
@@ -108,7 +108,7 @@
                 number=target.number,
             )
 
-    def _take_rest(self, target: Target, rest: Rest) -> None:
+    def _record_rest(self, target: Target, rest: Rest) -> None:
         now = self._clock.monotonic()
         instance, born = target.instance, target.born
         match rest:
@@ -128,13 +128,13 @@
                         at_rest=self._rests.count(now),
                     )
             case UnreadRest():
-                self._note_unread(target, UNREAD_REST)
+                self._count_unknown_header(target, INVALID_REST)
 
-    def _note_unread(self, target: Target, name: str) -> None:
-        if name not in self._unread:
-            if len(self._unread) >= MOST_UNREAD:
+    def _count_unknown_header(self, target: Target, name: str) -> None:
+        if name not in self._unknown_headers:
+            if len(self._unknown_headers) >= MAX_UNKNOWN_HEADERS:
                 return
-            self._unread.add(name)
+            self._unknown_headers.add(name)
             self._log.warn(
                 "header_unread", header=name, target=target.instance
             )
--- a/packages/gateway/src/chivepier/gateway/serving/origin.py
+++ b/packages/gateway/src/chivepier/gateway/serving/kvorigin.py
@@ -4,7 +4,7 @@
 
 
 @attrs.frozen
-class Origin:
+class KvOrigin:
     """A copy of a live generation's memory.
 
     :param address: of the target that names the copy
--- a/packages/gateway/src/chivepier/gateway/serving/liverun.py
+++ b/packages/gateway/src/chivepier/gateway/serving/liverun.py
@@ -13,10 +13,10 @@
 from chivepier.gateway.targets import Target
 
 # A copy to another availability zone takes this many times as long.
-FAR_FACTOR = 2.0
+CROSS_ZONE_COPY_FACTOR = 2.0
 # Seconds that the calls of one move take besides: two copies are asked for
 # and answered, some milliseconds each, and a target is sometimes slow.
-CALL_SECONDS = 0.06
+MOVE_CALLS_SECONDS = 0.06
 
 
 @attrs.define(eq=False)
@@ -50,22 +50,22 @@
 
     plan: Plan
     target: Target
-    counted: int
-    reading: int = 0
-    ahead: int = 0
-    sent: float = 0.0
-    heard: float = 0.0
-    moves: bool = False
-    number: int = 0
-    began: float | None = None
+    counted_tokens: int
+    prefill_tokens: int = 0
+    prefill_backlog: int = 0
+    sent_at: float = 0.0
+    heard_at: float = 0.0
+    movable: bool = False
+    last_event_number: int = 0
+    first_event_at: float | None = None
     handoff: asyncio.Future[Handoff | None] | None = None
     stopped: bool = False
-    doubtful: bool = False
+    stop_uncertain: bool = False
     moved: bool = False
     ended: bool = False
     lost: asyncio.Event = attrs.field(factory=asyncio.Event)
-    broken: bool = False
-    limit: asyncio.Timeout | None = None
+    target_restarted: bool = False
+    wait_timeout: asyncio.Timeout | None = None
 
     @property
     def request(self) -> CallerRequest:
@@ -78,22 +78,25 @@
         return self.plan.service
 
     @property
-    def held(self) -> int:
+    def held_tokens(self) -> int:
         """Memory that it takes now, in tokens."""
         prompt = self.request.prompt
         engine = self.service.engine
         if prompt is None or engine is None:
-            return self.counted
-        return prompt.tokens + self.number * engine.event_tokens
+            return self.counted_tokens
+        return prompt.tokens + self.last_event_number * engine.event_tokens
 
-    def copy_seconds(self) -> float:
+    def estimate_copy_seconds(self) -> float:
         """Return how long its memory takes to another availability zone."""
         engine = self.service.engine
         if engine is None:
             return 0.0
-        return FAR_FACTOR * self.held * engine.token_seconds + CALL_SECONDS
+        return (
+            CROSS_ZONE_COPY_FACTOR * self.held_tokens * engine.token_seconds
+            + MOVE_CALLS_SECONDS
+        )
 
-    async def await_loss(self, seconds: float) -> None:
+    async def wait_for_loss(self, seconds: float) -> None:
         """Return after a time, or at once when its target breaks off.
 
         :param seconds: at most
@@ -105,7 +108,7 @@
             return
 
     @contextlib.asynccontextmanager
-    async def bound(
+    async def limit_wait(
         self, seconds: float | None
     ) -> collections.abc.AsyncIterator[None]:
         """Bound a wait for its target, which :meth:`break_off` ends too.
@@ -113,44 +116,44 @@
         :param seconds: at most; ``None`` for no other bound
         :raises TimeoutError: when it is over or broken off
         """
-        if self.broken:
+        if self.target_restarted:
             raise TimeoutError
         try:
-            async with asyncio.timeout(seconds) as self.limit:
+            async with asyncio.timeout(seconds) as self.wait_timeout:
                 yield
         finally:
-            self.limit = None
+            self.wait_timeout = None
 
-    def break_off(self) -> None:
+    def note_restart(self) -> None:
         """Note that its target has started again and knows nothing of it.
 
         Behind a cut the connection to the earlier life stays open and says
         nothing more; its caller would wait until it leaves by itself.
         """
-        self.broken = True
+        self.target_restarted = True
         self.lost.set()
-        limit = self.limit
+        limit = self.wait_timeout
         if limit is not None and not limit.expired():
             limit.reschedule(asyncio.get_running_loop().time())
 
-    def go_on(self, target: Target, now: float) -> None:
+    def resume_at(self, target: Target, now: float) -> None:
         """Note that it goes on at another target.
 
         :param target: that has answered
         :param now: monotonic seconds
         """
         self.target = target
-        self.sent = self.heard = now
+        self.sent_at = self.heard_at = now
         self.moved = True
         # its memory comes with it
-        self.reading = 0
-        self.began = None
+        self.prefill_tokens = 0
+        self.first_event_at = None
         self.handoff = None
-        self.stopped = self.doubtful = False
-        self.broken = False
+        self.stopped = self.stop_uncertain = False
+        self.target_restarted = False
         self.lost.clear()
 
 
-def milliseconds(seconds: float) -> int:
+def to_milliseconds(seconds: float) -> int:
     """Return seconds as whole milliseconds, as nodes tell each other."""
     return round(1000 * seconds)
--- a/packages/gateway/src/chivepier/gateway/serving/mover.py
+++ b/packages/gateway/src/chivepier/gateway/serving/mover.py
@@ -7,12 +7,12 @@
 from chivepier.gateway.eventlog import EventLog
 from chivepier.gateway.metrics import Metrics
 from chivepier.gateway.serving.copyturns import CopyTurns
-from chivepier.gateway.serving.guard import Guard
+from chivepier.gateway.serving.crashguard import CrashGuard
 from chivepier.gateway.serving.handoff import Handoff
+from chivepier.gateway.serving.kvorigin import KvOrigin
 from chivepier.gateway.serving.liverun import LiveRun
 from chivepier.gateway.serving.moved import Moved
 from chivepier.gateway.serving.moveoutcome import MoveOutcome
-from chivepier.gateway.serving.origin import Origin
 from chivepier.gateway.serving.targetcalls import TargetCalls
 from chivepier.gateway.targets import Chooser
 from chivepier.gateway.targets import Liveness
@@ -63,7 +63,7 @@
         chooser: Chooser,
         table: TargetTable,
         board: LoadBoard,
-        guard: Guard,
+        guard: CrashGuard,
         clock: Clock,
         log: EventLog,
         metrics: Metrics,
@@ -101,7 +101,11 @@
         if target.state is TargetState.READY or before is target.state:
             return
         runs = list(self._runs.get(target.instance, ()))
-        due = {run for run in runs if run.moves and run.began is not None}
+        due = {
+            run
+            for run in runs
+            if run.movable and run.first_event_at is not None
+        }
         if due:
             self._turns.expect(target.instance, due)
         for run in runs:
@@ -113,7 +117,7 @@
         :param target: as it was known before
         """
         for run in list(self._runs.get(target.instance, ())):
-            run.break_off()
+            run.note_restart()
 
     async def watch_silence(self) -> None:
         """Look for targets that have gone, for as long as the node lives."""
@@ -131,21 +135,21 @@
         now = self._clock.monotonic()
         for name, runs in list(self._runs.items()):
             stalled = {
-                run for run in runs if now - run.heard >= STALLED_SECONDS
+                run for run in runs if now - run.heard_at >= STALLED_SECONDS
             }
             if not stalled or not await self._has_gone(stalled):
                 continue
             self._log.warn("target_gone", target=name, runs=len(stalled))
             for run in stalled:
-                run.break_off()
+                run.note_restart()
 
     async def _has_gone(self, stalled: set[LiveRun]) -> bool:
         """Tell whether the target of stalled generations has ended."""
         now = self._clock.monotonic()
-        last = max(stalled, key=lambda run: run.heard)
+        last = max(stalled, key=lambda run: run.heard_at)
         if not self._table.is_silent(last.target, now):
             return False
-        if now - last.heard >= GONE_SECONDS:
+        if now - last.heard_at >= GONE_SECONDS:
             return True
         if not self._chooser.is_open(last.target):
             return False
@@ -160,15 +164,15 @@
         :param digest: the request's
         """
         for run in [run for runs in self._runs.values() for run in runs]:
-            if run.began is None and run.plan.digest == digest:
-                run.break_off()
+            if run.first_event_at is None and run.plan.digest == digest:
+                run.note_restart()
 
     def start(self, run: LiveRun) -> None:
         """Begin to move one generation, unless that is under way."""
         engine = run.service.engine
         if run.handoff is not None or engine is None or not engine.moves:
             return
-        if not run.moves or self._guard.holds(run.plan):
+        if not run.movable or self._guard.is_held(run.plan):
             return
         run.handoff = asyncio.get_running_loop().create_future()
         self._keep(asyncio.create_task(self._move(run, run.handoff)))
@@ -207,13 +211,13 @@
         """
         source = run.target.instance
         while not run.ended and run.target.instance == source:
-            if run.began is not None and self._pick(run, {source}):
+            if run.first_event_at is not None and self._pick(run, {source}):
                 async with self._turns.take(source, run):
                     found = await self._copy_somewhere(run)
                 if found is not None:
                     return found
             self._turns.skip(source, run)
-            await run.await_loss(LOOK_PAUSE)
+            await run.wait_for_loss(LOOK_PAUSE)
             if run.lost.is_set():
                 return None
         return None
@@ -227,7 +231,7 @@
             tried.add(target.instance)
             # many runs look for a place at the same moment: without this
             # all would take the one that was the emptiest before
-            with self._book(run.counted, target):
+            with self._book(run.counted_tokens, target):
                 outcome, found = await self._copy_to(run, source, target)
             if found is not None or outcome is not MoveOutcome.NO_ROOM:
                 return found
@@ -250,9 +254,9 @@
         moved = await self._copy(run, source, target, last=False)
         if moved.outcome is not MoveOutcome.COPIED:
             return moved.outcome, None
-        copy = Handoff(target, Origin(source.address, moved.handle))
+        copy = Handoff(target, KvOrigin(source.address, moved.handle))
         moved = await self._stop(run, source, target)
-        origin = Origin(source.address, moved.handle)
+        origin = KvOrigin(source.address, moved.handle)
         match moved.outcome:
             case MoveOutcome.COPIED:
                 return moved.outcome, Handoff(target, origin)
@@ -264,7 +268,7 @@
             case MoveOutcome.FAILED:
                 # the source may have ended meanwhile: the first copy holds
                 # all but the last few tokens
-                run.doubtful = True
+                run.stop_uncertain = True
                 return moved.outcome, copy
             case _:
                 # refused or never sent, it stopped nothing
@@ -287,7 +291,7 @@
             if moved.outcome is not MoveOutcome.NOT_SENT:
                 return moved
             run.stopped = False
-            await run.await_loss(LOOK_PAUSE)
+            await run.wait_for_loss(LOOK_PAUSE)
             if run.lost.is_set() or self._clock.monotonic() >= last:
                 return moved
 
@@ -321,7 +325,7 @@
         return self._chooser.choose_destination(
             run.service.name,
             engine,
-            run.counted,
+            run.counted_tokens,
             run.target,
             tried,
             run.plan.regions,
--- a/packages/gateway/src/chivepier/gateway/serving/placing.py
+++ b/packages/gateway/src/chivepier/gateway/serving/placing.py
@@ -2,12 +2,12 @@
 
 from chivepier.gateway.eventlog import EventLog
 from chivepier.gateway.permits import Claim
+from chivepier.gateway.serving.crashguard import CrashGuard
 from chivepier.gateway.serving.errors import AllAtRestError
-from chivepier.gateway.serving.errors import NoRoomError
+from chivepier.gateway.serving.errors import NoCapacityError
 from chivepier.gateway.serving.errors import NotPermittedError
 from chivepier.gateway.serving.errors import NotSentError
-from chivepier.gateway.serving.errors import OverLimitError
-from chivepier.gateway.serving.guard import Guard
+from chivepier.gateway.serving.errors import RateLimitedError
 from chivepier.gateway.serving.place import Place
 from chivepier.gateway.serving.plan import Plan
 from chivepier.gateway.serving.queueticket import QueueTicket
@@ -64,7 +64,7 @@
         health: TargetHealth,
         queues: QueueBoard,
         calls: TargetCalls,
-        guard: Guard,
+        guard: CrashGuard,
         gate: SendGate,
         clock: Clock,
         log: EventLog,
@@ -85,8 +85,8 @@
         :param tried: instances that must not be picked
         :returns: the place; ``None`` when no target is left, or the request
             must not be sent any more
-        :raises NoRoomError: when none had room for too long
-        :raises OverLimitError: when all are in need and take no more
+        :raises NoCapacityError: when none had room for too long
+        :raises RateLimitedError: when all are in need and take no more
         :raises AllAtRestError: when all are at rest for too long
         """
         engine = plan.service.engine
@@ -94,7 +94,7 @@
             await self._await_rests(plan)
             return await self._find_permitted(plan, tried)
         with QueueTicket(self._queues, plan.service.name) as ticket:
-            while not self._guard.holds(plan):
+            while not self._guard.is_held(plan):
                 await self._await_rests(plan, ticket)
                 if not self._rank(plan, tried):
                     break
@@ -102,14 +102,14 @@
                 shortage = self._check_limits(plan)
                 if stage is Stage.OVER:
                     self._log.info("no_room", id=plan.request.id)
-                    raise NoRoomError
+                    raise NoCapacityError
                 for target in self._select(plan, stage, tried):
                     place = await self._take_place(plan, target, shortage)
                     if place is not None:
                         return place
                 ticket.wait(find_rank(plan, stage))
                 await self._clock.sleep(ROUND_PAUSE)
-                await self._gate.settle()
+                await self._gate.wait_fresh()
         return None
 
     async def _await_rests(
@@ -150,7 +150,7 @@
                 return place
         rate = self._find_shortage(plan)
         if rate is not None:
-            raise OverLimitError(rate)
+            raise RateLimitedError(rate)
         return None
 
     async def _try_ranked(
@@ -182,7 +182,7 @@
 
         :returns: requests a second; ``None`` unless all of them are in need
         """
-        if not self._gate.knows_limits:
+        if not self._gate.has_limits:
             return None
         # also those that are avoided for a moment: they name no limit
         found = self._chooser.select(plan.service.name, plan.regions)
@@ -233,7 +233,7 @@
         """Turn away what targets in need can't take before it is too late.
 
         :returns: whether all targets are in need
-        :raises OverLimitError: when all are in need, and what goes before
+        :raises RateLimitedError: when all are in need, and what goes before
             the request takes them too long
         """
         rate = self._find_shortage(plan)
@@ -245,7 +245,7 @@
         ahead = self._queues.ahead(plan.service.name, rank, now)
         seconds = self._find_last_start(plan) - now
         if ahead > rate * seconds:
-            raise OverLimitError(rate)
+            raise RateLimitedError(rate)
         return True
 
     def _find_stage(self, plan: Plan) -> Stage:
--- a/packages/gateway/src/chivepier/gateway/serving/relay.py
+++ b/packages/gateway/src/chivepier/gateway/serving/relay.py
@@ -3,20 +3,20 @@
 import asyncio
 
 from chivepier.gateway.metrics import Metrics
-from chivepier.gateway.serving.callerport import CallerPort
+from chivepier.gateway.serving.callerconnection import CallerConnection
+from chivepier.gateway.serving.callpurpose import CallPurpose
 from chivepier.gateway.serving.dispatcher import Dispatcher
-from chivepier.gateway.serving.errand import Errand
-from chivepier.gateway.serving.errors import AnswerCutError
-from chivepier.gateway.serving.errors import LostError
+from chivepier.gateway.serving.errors import BrokenAnswerError
+from chivepier.gateway.serving.errors import ConnectionLostError
 from chivepier.gateway.serving.errors import NotSentError
 from chivepier.gateway.serving.eventsplitter import EventSplitter
 from chivepier.gateway.serving.handoff import Handoff
 from chivepier.gateway.serving.liverun import LiveRun
 from chivepier.gateway.serving.plan import Plan
-from chivepier.gateway.serving.sendorder import SendOrder
-from chivepier.gateway.serving.sent import Sent
+from chivepier.gateway.serving.sendoptions import SendOptions
+from chivepier.gateway.serving.startedanswer import StartedAnswer
 from chivepier.gateway.serving.streamend import StreamEnd
-from chivepier.gateway.serving.streampace import StreamPace
+from chivepier.gateway.serving.streamtiming import StreamTiming
 from chivepier.gateway.serving.targetanswer import TargetAnswer
 from chivepier.types import ErrorKind
 from chivepier.types import Ran
@@ -24,10 +24,10 @@
 
 # Seconds to wait for the outcome of a move once its source has ended the
 # stream.
-HANDOFF_SECONDS = 4.5
+HANDOFF_WAIT_SECONDS = 4.5
 # Seconds for the next target to answer. It admits a generation that goes on
 # before all others; its head comes with the first event.
-ANSWER_SECONDS = 2.0
+RESUME_ANSWER_SECONDS = 2.0
 # Seconds without a byte after which a target counts as dark, before its caller
 # leaves.
 STALL_SECONDS = 1.5
@@ -35,7 +35,7 @@
 # newest is preempted first, though it has the most to lose.
 MOVED_URGENCY = 4
 # How often one stream goes on elsewhere; each takes a target's end.
-MOST_HANDOFFS = 20
+MAX_HANDOFFS = 20
 
 
 class Relay:
@@ -51,7 +51,7 @@
         self,
         dispatcher: Dispatcher,
         plan: Plan,
-        caller: CallerPort,
+        caller: CallerConnection,
         metrics: Metrics,
     ):
         self._metrics = metrics
@@ -59,105 +59,112 @@
         self._plan = plan
         self._caller = caller
         self._splitter = EventSplitter()
-        self._begun = False
-        self._pace = StreamPace(
+        self._head_sent = False
+        self._timing = StreamTiming(
             plan.request.arrived, dispatcher.clock.monotonic
         )
 
-    async def run(self, sent: Sent) -> None:
+    async def run(self, started: StartedAnswer) -> None:
         """Relay until the stream is whole.
 
         :param sent: the answer of the first target
         :raises RequestError: when nothing was sent to the caller yet and
             nothing can be
         """
-        head, run = sent.answer, sent.run
+        head, run = started.answer, started.run
         try:
-            for _ in range(MOST_HANDOFFS):
-                match await self._pump(head, sent, run):
-                    case StreamEnd.WHOLE if await self._ended(run, sent):
-                        self._dispatcher.runs.note_whole(run)
+            for _ in range(MAX_HANDOFFS):
+                match await self._relay_target(head, started, run):
+                    case StreamEnd.COMPLETE if await self._is_complete(
+                        run, started
+                    ):
+                        self._dispatcher.runs.note_complete(run)
                         self._dispatcher.guard.note_answered(
-                            self._plan, sent.answer.facts
+                            self._plan, started.answer.facts
                         )
                         await self._finish(head)
                         return
                     case _:
                         await self._note_lost(run)
-                        sent = await self._go_on(run, sent)
-                if sent is None:
+                        started = await self._resume(run, started)
+                if started is None:
                     break
-            self._cut(run)
+            self._break_off(run)
         finally:
             run.ended = True
             run.lost.set()
-            self._note_end()
+            self._record_timing()
             self._dispatcher.log.info(
                 "stream_ended",
                 id=run.request.id,
                 target=run.target.instance,
-                events=run.number,
-                first_ms=round(1000 * self._pace.first),
-                gap_ms=round(1000 * self._pace.gap),
-                gap_at=self._pace.gap_at,
+                events=run.last_event_number,
+                first_ms=round(1000 * self._timing.first_seconds),
+                gap_ms=round(1000 * self._timing.max_gap),
+                gap_at=self._timing.max_gap_index,
             )
-            if sent is not None:
-                self._dispatcher.end(sent)
+            if started is not None:
+                self._dispatcher.release(started)
 
     async def _note_lost(self, run: LiveRun) -> None:
         if run.stopped:
             return
         dispatcher, plan = self._dispatcher, self._plan
-        error = AnswerCutError("the stream broke off")
-        dispatcher.note_lost(plan, run.target, run.sent, run.began, error)
+        error = BrokenAnswerError("the stream broke off")
+        dispatcher.note_lost(
+            plan, run.target, run.sent_at, run.first_event_at, error
+        )
         if plan.repeatable:
-            await dispatcher.guard.settle(plan, run.target)
+            await dispatcher.guard.wait_for_verdict(plan, run.target)
 
-    def _note_end(self) -> None:
-        plan, pace = self._plan, self._pace
+    def _record_timing(self) -> None:
+        plan, timing = self._plan, self._timing
         self._metrics.note_stream(
-            plan.team or "", str(plan.urgency), pace.first, pace.gap
+            plan.team or "",
+            str(plan.urgency),
+            timing.first_seconds,
+            timing.max_gap,
         )
 
-    async def _ended(self, run: LiveRun, sent: Sent) -> bool:
+    async def _is_complete(self, run: LiveRun, started: StartedAnswer) -> bool:
         # a stream that was stopped for a move has no end, but where its
         # target frames it by closing the connection it looks whole
         if not run.stopped:
             return True
         run.lost.set()
-        found = await self._await_handoff(run)
-        if run.stopped and not (run.doubtful and sent.answer.framed):
+        found = await self._wait_for_handoff(run)
+        if run.stopped and not (run.stop_uncertain and started.answer.framed):
             return False
         if found is not None:
             self._dispatcher.mover.free(run, found)
         return True
 
-    async def _await_handoff(self, run: LiveRun) -> Handoff | None:
+    async def _wait_for_handoff(self, run: LiveRun) -> Handoff | None:
         try:
-            async with asyncio.timeout(HANDOFF_SECONDS):
+            async with asyncio.timeout(HANDOFF_WAIT_SECONDS):
                 return await asyncio.shield(run.handoff)
         except TimeoutError:
             return None
 
-    async def _pump(
-        self, head: TargetAnswer, sent: Sent, run: LiveRun
+    async def _relay_target(
+        self, head: TargetAnswer, started: StartedAnswer, run: LiveRun
     ) -> StreamEnd:
         """Pass events on until the target ends or breaks off."""
-        first, sent.body = sent.body, b""
+        first, started.body = started.body, b""
         try:
-            await self._pass_on(head, run, first)
-            while data := await self._read(run, sent):
-                await self._pass_on(head, run, data)
-        except (AnswerCutError, TimeoutError):
-            return StreamEnd.CUT
-        rest = self._splitter.take_rest()
+            await self._forward_events(head, run, first)
+            while data := await self._read_chunk(run, started):
+                await self._forward_events(head, run, data)
+        except (BrokenAnswerError, TimeoutError):
+            return StreamEnd.TRUNCATED
+        rest = self._splitter.take_remainder()
         if rest:
             # an answer that is whole by its framing is the target's own,
             # also where its last event has no end
             await self._write(head, rest)
-        return StreamEnd.WHOLE
+        return StreamEnd.COMPLETE
 
-    async def _read(self, run: LiveRun, sent: Sent) -> bytes:
+    async def _read_chunk(self, run: LiveRun, started: StartedAnswer) -> bytes:
         seconds = None
         if self._plan.repeatable:
             # a target that is dark says nothing; where the generation can
@@ -165,22 +172,24 @@
             seconds = STALL_SECONDS
         # only reads are bounded: an event that was counted but not yet
         # written would be lost if its write were ended
-        async with run.bound(seconds):
-            data = await sent.answer.read()
-        self._dispatcher.runs.note_begun(run)
+        async with run.limit_wait(seconds):
+            data = await started.answer.read()
+        self._dispatcher.runs.note_first_event(run)
         self._dispatcher.runs.note_growth(run)
         return data
 
     async def _try_handoff(
-        self, run: LiveRun, handoff: Handoff, sent: Sent
-    ) -> Sent | None:
+        self, run: LiveRun, handoff: Handoff, started: StartedAnswer
+    ) -> StartedAnswer | None:
         dispatcher, plan = self._dispatcher, self._plan
-        began = dispatcher.clock.monotonic()
+        sent_at = dispatcher.clock.monotonic()
         try:
-            return await self._send(run, handoff, sent)
-        except (NotSentError, LostError, TimeoutError) as error:
+            return await self._send(run, handoff, started)
+        except (NotSentError, ConnectionLostError, TimeoutError) as error:
             if not isinstance(error, NotSentError):
-                dispatcher.note_lost(plan, handoff.target, began, None, error)
+                dispatcher.note_lost(
+                    plan, handoff.target, sent_at, None, error
+                )
             dispatcher.log.warn(
                 "handoff_failed",
                 id=run.request.id,
@@ -189,71 +198,73 @@
             )
             return None
 
-    async def _pass_on(
+    async def _forward_events(
         self, head: TargetAnswer, run: LiveRun, data: bytes
     ) -> None:
         fresh = []
         for event, number in self._splitter.feed(data):
             if number is not None:
                 # the next target may repeat what the last one had made
-                if number <= run.number:
+                if number <= run.last_event_number:
                     continue
-                run.number = number
+                run.last_event_number = number
             fresh.append(event)
         if fresh:
             await self._write(head, b"".join(fresh))
 
     async def _write(self, head: TargetAnswer, data: bytes) -> None:
-        if not self._begun:
-            self._begun = True
+        if not self._head_sent:
+            self._head_sent = True
             await self._caller.begin(head.status, head.headers, None)
-        self._pace.note()
+        self._timing.record_write()
         await self._caller.write(data)
 
     async def _finish(self, head: TargetAnswer) -> None:
-        if not self._begun:
-            self._begun = True
+        if not self._head_sent:
+            self._head_sent = True
             await self._caller.begin(head.status, head.headers, None)
         await self._caller.finish()
 
-    async def _go_on(self, run: LiveRun, sent: Sent) -> Sent | None:
+    async def _resume(
+        self, run: LiveRun, started: StartedAnswer
+    ) -> StartedAnswer | None:
         """Send the request to where its memory is, or anew if allowed."""
         run.lost.set()
         # a run without its stream may still go on there for a moment
-        sent.answer.close()
+        started.answer.close()
         for handoff in await self._find_handoffs(run):
-            if self._dispatcher.guard.holds(self._plan):
+            if self._dispatcher.guard.is_held(self._plan):
                 break
-            fresh = await self._try_handoff(run, handoff, sent)
+            fresh = await self._try_handoff(run, handoff, started)
             if fresh is not None:
                 return fresh
-        self._dispatcher.end(sent)
+        self._dispatcher.release(started)
         return None
 
     async def _find_handoffs(self, run: LiveRun) -> list[Handoff]:
         found = []
         if run.handoff is not None:
-            handoff = await self._await_handoff(run)
+            handoff = await self._wait_for_handoff(run)
             if handoff is not None:
-                found.append(self._correct(run, handoff))
+                found.append(self._redirect_to_source(run, handoff))
         if self._plan.repeatable:
-            anew = self._choose_anew(run)
-            if anew is not None:
-                found.append(anew)
+            rerun = self._choose_rerun(run)
+            if rerun is not None:
+                found.append(rerun)
         return found
 
-    def _correct(self, run: LiveRun, handoff: Handoff) -> Handoff:
+    def _redirect_to_source(self, run: LiveRun, handoff: Handoff) -> Handoff:
         """Go on at the source where the copy's target takes nothing now.
 
         It was stopped there for the move, and keeps the memory.
         """
-        if self._dispatcher.gate.may_go_on(handoff.target):
+        if self._dispatcher.gate.may_resume(handoff.target):
             return handoff
         return Handoff(run.target, handoff.origin)
 
-    def _choose_anew(self, run: LiveRun) -> Handoff | None:
+    def _choose_rerun(self, run: LiveRun) -> Handoff | None:
         dispatcher, plan = self._dispatcher, self._plan
-        if dispatcher.guard.holds(plan):
+        if dispatcher.guard.is_held(plan):
             return None
         service = plan.service
         target = dispatcher.chooser.choose(
@@ -263,35 +274,35 @@
             {run.target.instance},
             plan.regions,
         )
-        if target is None or not dispatcher.take_repeat(plan):
+        if target is None or not dispatcher.take_retry(plan):
             return None
         return Handoff(target, None)
 
     async def _send(
-        self, run: LiveRun, handoff: Handoff, sent: Sent
-    ) -> Sent | None:
+        self, run: LiveRun, handoff: Handoff, started: StartedAnswer
+    ) -> StartedAnswer | None:
         dispatcher, plan = self._dispatcher, self._plan
-        await dispatcher.gate.take_leave(
+        await dispatcher.gate.acquire_resume_permit(
             plan.service, handoff.target, plan.team or ""
         )
-        order = SendOrder(
+        options = SendOptions(
             seconds=plan.deadline - dispatcher.clock.monotonic(),
             team=plan.team,
             urgency=MOVED_URGENCY,
             origin=handoff.origin,
-            after_event=str(run.number),
+            after_event=str(run.last_event_number),
             once=not plan.repeatable,
         )
-        seconds = min(order.seconds, ANSWER_SECONDS)
+        seconds = min(options.seconds, RESUME_ANSWER_SECONDS)
         # what carries no memory there is new work
-        errand = Errand.GO_ON if handoff.origin else Errand.START
+        purpose = CallPurpose.RESUME if handoff.origin else CallPurpose.START
         async with asyncio.timeout(seconds):
             answer = await dispatcher.calls.send(
-                handoff.target, plan.request, order, errand
+                handoff.target, plan.request, options, purpose
             )
         facts = answer.facts
         refused = facts.not_run or facts.other_instance is not None
-        if refused or facts.crossed or answer.status >= 300:
+        if refused or facts.mismatched or answer.status >= 300:
             answer.close()
             dispatcher.log.warn(
                 "handoff_refused",
@@ -305,26 +316,26 @@
             id=run.request.id,
             source=run.target.instance,
             target=handoff.target.instance,
-            after=run.number,
+            after=run.last_event_number,
             moved=handoff.origin is not None,
         )
-        dispatcher.end(sent)
-        run.go_on(handoff.target, dispatcher.clock.monotonic())
+        dispatcher.release(started)
+        run.resume_at(handoff.target, dispatcher.clock.monotonic())
         self._splitter = EventSplitter()
-        dispatcher.runs.watch(run)
+        dispatcher.runs.track(run)
         dispatcher.chooser.begin(run.target.instance)
         if dispatcher.table.leaves(run.target.instance):
             dispatcher.mover.start(run)
-        return Sent(run.target, answer, b"", run)
+        return StartedAnswer(run.target, answer, b"", run)
 
-    def _cut(self, run: LiveRun) -> None:
+    def _break_off(self, run: LiveRun) -> None:
         text = "the target broke off, and the stream can't go on"
         self._dispatcher.log.warn(
             "stream_cut",
             id=run.request.id,
             target=run.target.instance,
-            after=run.number,
+            after=run.last_event_number,
         )
-        if not self._begun:
+        if not self._head_sent:
             raise RequestError.of(ErrorKind.TARGET_FAILED, text, Ran.UNKNOWN)
         self._caller.abort()
--- a/packages/gateway/src/chivepier/gateway/serving/runwatch.py
+++ b/packages/gateway/src/chivepier/gateway/serving/runtracker.py
@@ -12,7 +12,7 @@
 from chivepier.types import Clock
 
 
-class RunWatch:
+class RunTracker:
     """Keeps the loads that entries share, and tells the mover what runs.
 
     :param board: loads by target
@@ -28,8 +28,8 @@
         pace: ReadingPace,
         clock: Clock,
     ):
-        self._pace = pace
-        self._steps = StepPace()
+        self._reading_pace = pace
+        self._step_pace = StepPace()
         self._board = board
         self._mover = mover
         self._clock = clock
@@ -48,45 +48,49 @@
             plan,
             target,
             demand.soon,
-            reading=demand.prompt,
-            ahead=load.reading + demand.prompt,
-            sent=now,
-            heard=now,
-            moves=not plan.repeatable,
+            prefill_tokens=demand.prompt,
+            prefill_backlog=load.reading + demand.prompt,
+            sent_at=now,
+            heard_at=now,
+            movable=not plan.repeatable,
         )
-        self.watch(run)
+        self.track(run)
         return run
 
-    def watch(self, run: LiveRun) -> None:
+    def track(self, run: LiveRun) -> None:
         """Count a generation at its target and watch that."""
         self._count(run, 1)
         self._mover.add(run)
 
-    def unwatch(self, run: LiveRun) -> None:
+    def untrack(self, run: LiveRun) -> None:
         """Take a generation off its target."""
         self._count(run, -1)
         self._mover.remove(run)
 
-    def give_up(self, run: LiveRun) -> None:
+    def abandon(self, run: LiveRun) -> None:
         """Take off a generation that goes on nowhere.
 
         A move of it would else ask its source until the process ends: one
         that broke off before its first event looks as if it waited still.
         """
-        self.unwatch(run)
+        self.untrack(run)
         run.ended = True
         run.lost.set()
 
-    def note_begun(self, run: LiveRun) -> None:
+    def note_first_event(self, run: LiveRun) -> None:
         """Note that its first event came from this target."""
-        if run.began is None:
-            run.began = self._clock.monotonic()
-            if run.reading:
-                seconds = run.began - run.sent
-                self._pace.note(run.service.name, run.ahead, seconds)
-            self._board.change(run.target.instance, reading=-run.reading)
-
-    def estimate(self, plan: Plan) -> float:
+        if run.first_event_at is None:
+            run.first_event_at = self._clock.monotonic()
+            if run.prefill_tokens:
+                seconds = run.first_event_at - run.sent_at
+                self._reading_pace.note(
+                    run.service.name, run.prefill_backlog, seconds
+                )
+            self._board.change(
+                run.target.instance, reading=-run.prefill_tokens
+            )
+
+    def estimate_seconds(self, plan: Plan) -> float:
         """Return how long a generation lasts at most, in seconds.
 
         :param plan: the request's; what asks for no generation takes no time
@@ -95,31 +99,35 @@
         if prompt is None:
             return 0.0
         service = plan.service.name
-        reading = self._pace.estimate(service, prompt.tokens)
-        return reading + self._steps.estimate(service, prompt.most_output)
+        reading = self._reading_pace.estimate(service, prompt.tokens)
+        return reading + self._step_pace.estimate(service, prompt.most_output)
 
-    def note_whole(self, run: LiveRun) -> None:
+    def note_complete(self, run: LiveRun) -> None:
         """Learn from a generation that came to its end at one target."""
         engine = run.service.engine
-        if engine is not None and run.began is not None and not run.moved:
-            tokens = run.number * engine.event_tokens
-            seconds = self._clock.monotonic() - run.began
-            self._steps.note(run.service.name, tokens, seconds)
+        if (
+            engine is not None
+            and run.first_event_at is not None
+            and not run.moved
+        ):
+            tokens = run.last_event_number * engine.event_tokens
+            seconds = self._clock.monotonic() - run.first_event_at
+            self._step_pace.note(run.service.name, tokens, seconds)
 
     def note_growth(self, run: LiveRun) -> None:
         """Count what a generation takes, once it has grown by some."""
-        run.heard = self._clock.monotonic()
-        if run.held + SOON_TOKENS // 2 <= run.counted:
+        run.heard_at = self._clock.monotonic()
+        if run.held_tokens + SOON_TOKENS // 2 <= run.counted_tokens:
             return
-        grown = run.held + SOON_TOKENS - run.counted
-        run.counted += grown
+        grown = run.held_tokens + SOON_TOKENS - run.counted_tokens
+        run.counted_tokens += grown
         self._board.change(run.target.instance, tokens=grown)
 
     def _count(self, run: LiveRun, sign: int) -> None:
-        waits = run.began is None
+        waits = run.first_event_at is None
         self._board.change(
             run.target.instance,
             runs=sign,
-            tokens=sign * run.counted,
-            reading=sign * run.reading if waits else 0,
+            tokens=sign * run.counted_tokens,
+            reading=sign * run.prefill_tokens if waits else 0,
         )
--- a/packages/gateway/src/chivepier/gateway/serving/sendgate.py
+++ b/packages/gateway/src/chivepier/gateway/serving/sendgate.py
@@ -8,7 +8,7 @@
 from chivepier.gateway.permits import Claim
 from chivepier.gateway.permits import Permit
 from chivepier.gateway.permits import Permits
-from chivepier.gateway.serving.errand import Errand
+from chivepier.gateway.serving.callpurpose import CallPurpose
 from chivepier.gateway.serving.errors import NotPermittedError
 from chivepier.gateway.targets import Target
 from chivepier.gateway.targets import TargetTable
@@ -18,13 +18,13 @@
 
 # Seconds after an evacuation in which a generation may still go on at a copy
 # there: stopped at its source, it would be lost.
-GOING_ON_SECONDS = 1.0
+RESUME_GRACE_SECONDS = 1.0
 # Seconds for which a generation that goes on elsewhere waits for leave.
-LEAVE_SECONDS = 1.0
-LEAVE_PAUSE = 0.05
+RESUME_WAIT_SECONDS = 1.0
+RESUME_POLL_SECONDS = 0.05
 # Class of a generation that goes on elsewhere, ahead of all that are new: with
 # it all that was read for it would be lost.
-GOING_ON_URGENCY = -1
+RESUME_URGENCY = -1
 
 
 class SendGate:
@@ -57,7 +57,7 @@
         self._freshness = freshness
         self._clock = clock
 
-    async def settle(self) -> None:
+    async def wait_fresh(self) -> None:
         """Return once what is known of orders is recent, or can't be."""
         await self._freshness.wait()
 
@@ -72,7 +72,7 @@
         return self._permits.find_rate(target)
 
     @property
-    def knows_limits(self) -> bool:
+    def has_limits(self) -> bool:
         """Whether any target is in need."""
         return self._permits.knows_limits
 
@@ -86,7 +86,9 @@
         """Return the seconds until a target in need is to be asked for."""
         return self._permits.find_pause(target, claim)
 
-    def check(self, target: Target, errand: Errand, permit: Permit) -> None:
+    def check(
+        self, target: Target, purpose: CallPurpose, permit: Permit
+    ) -> None:
         """Look once more, right before anything is sent.
 
         What waited for room, for a reservation or for a connection may
@@ -97,21 +99,25 @@
         :param permit: that was taken for it
         :raises NotPermittedError: when it must not be sent there now
         """
-        reason = self._find_reason(target, errand, permit)
+        reason = self._find_refusal_reason(target, purpose, permit)
         if reason is not None:
             self._metrics.note_held_back(reason)
             raise NotPermittedError(reason)
 
-    def _find_reason(
-        self, target: Target, errand: Errand, permit: Permit
+    def _find_refusal_reason(
+        self, target: Target, purpose: CallPurpose, permit: Permit
     ) -> str | None:
         now = self._clock.monotonic()
-        match errand:
-            case Errand.START if self._zones.is_evacuated(target.zone, now):
+        match purpose:
+            case CallPurpose.START if self._zones.is_evacuated(
+                target.zone, now
+            ):
                 return "evacuated"
-            case Errand.START if self._table.leaves(target.instance):
+            case CallPurpose.START if self._table.leaves(target.instance):
                 return "leaving"
-            case Errand.GO_ON if not self._may_go_to_zone(target, now):
+            case CallPurpose.RESUME if not self._may_resume_in_zone(
+                target, now
+            ):
                 return "evacuated"
         if self._find_rest(target, now) is not None:
             return "rest"
@@ -125,33 +131,33 @@
         now = self._clock.monotonic()
         self._rests.note_sent(target.instance, target.born, now)
 
-    def may_look(self, target: Target) -> bool:
+    def may_probe(self, target: Target) -> bool:
         """Tell whether it may be looked whether a target lives."""
         now = self._clock.monotonic()
         if self._zones.is_evacuated(target.zone, now):
             return False
         return self._find_rest(target, now) is None
 
-    def may_go_on(self, target: Target) -> bool:
+    def may_resume(self, target: Target) -> bool:
         """Tell whether a generation may go on at a copy at a target.
 
         It waits for a moment where the target is at rest for no longer.
         """
         now = self._clock.monotonic()
         rest = self._find_rest(target, now)
-        if rest is not None and rest > LEAVE_SECONDS:
+        if rest is not None and rest > RESUME_WAIT_SECONDS:
             return False
-        return self._may_go_to_zone(target, now)
+        return self._may_resume_in_zone(target, now)
 
-    def _may_go_to_zone(self, target: Target, now: float) -> bool:
+    def _may_resume_in_zone(self, target: Target, now: float) -> bool:
         if not self._zones.is_evacuated(target.zone, now):
             return True
         order = self._zones.find_order(target.zone)
         if order is None or not order.evacuated:
             return False
-        return now - order.since < GOING_ON_SECONDS
+        return now - order.since < RESUME_GRACE_SECONDS
 
-    async def take_leave(
+    async def acquire_resume_permit(
         self, service: Service, target: Target, team: str
     ) -> None:
         """Wait for leave to send a generation that goes on at a target.
@@ -161,17 +167,17 @@
         :param team: whose it is
         :raises NotPermittedError: without it
         """
-        await self.settle()
-        end = self._clock.monotonic() + LEAVE_SECONDS
-        while self.may_go_on(target):
+        await self.wait_fresh()
+        end = self._clock.monotonic() + RESUME_WAIT_SECONDS
+        while self.may_resume(target):
             now = self._clock.monotonic()
             left = end - now
-            claim = Claim(team, GOING_ON_URGENCY, max(0.0, left))
+            claim = Claim(team, RESUME_URGENCY, max(0.0, left))
             if self._find_rest(target, now) is None:
                 permit = await self.take_permit(service, target, claim)
                 if permit is not None:
                     return
             if left <= 0.0:
                 break
-            await self._clock.sleep(LEAVE_PAUSE)
+            await self._clock.sleep(RESUME_POLL_SECONDS)
         raise NotPermittedError("no leave to go on there")
--- a/packages/gateway/src/chivepier/gateway/serving/sendorder.py
+++ b/packages/gateway/src/chivepier/gateway/serving/sendoptions.py
@@ -2,11 +2,11 @@
 
 import attrs
 
-from chivepier.gateway.serving.origin import Origin
+from chivepier.gateway.serving.kvorigin import KvOrigin
 
 
 @attrs.frozen(kw_only=True)
-class SendOrder:
+class SendOptions:
     """What goes with the caller's own request.
 
     :param seconds: for which the target may work on it
@@ -21,7 +21,7 @@
     seconds: float
     team: str | None = None
     urgency: int | None = None
-    origin: Origin | None = None
+    origin: KvOrigin | None = None
     after_event: str | None = None
     reservation: str | None = None
     once: bool = False
--- a/packages/gateway/src/chivepier/gateway/serving/serving.py
+++ b/packages/gateway/src/chivepier/gateway/serving/serving.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from chivepier.gateway.metrics import Metrics
-from chivepier.gateway.serving.callerport import CallerPort
+from chivepier.gateway.serving.callerconnection import CallerConnection
 from chivepier.gateway.serving.callerrequest import CallerRequest
 from chivepier.gateway.serving.dispatcher import Dispatcher
 from chivepier.gateway.serving.plan import Plan
@@ -40,7 +40,9 @@
         self._dispatcher = dispatcher
         self.active = 0
 
-    async def serve(self, request: CallerRequest, caller: CallerPort) -> None:
+    async def serve(
+        self, request: CallerRequest, caller: CallerConnection
+    ) -> None:
         """Answer a request.
 
         :param request: the caller's
@@ -91,11 +93,11 @@
         if ends_at is None:
             return
         left = ends_at - self._dispatcher.clock.monotonic()
-        if self._dispatcher.runs.estimate(plan) > left:
+        if self._dispatcher.runs.estimate_seconds(plan) > left:
             text = "this instance ends before the generation would"
             raise RequestError.of(ErrorKind.DRAINING, text)
 
-    async def _answer(self, plan: Plan, caller: CallerPort) -> None:
+    async def _answer(self, plan: Plan, caller: CallerConnection) -> None:
         dispatcher = self._dispatcher
         now = dispatcher.clock.monotonic()
         dispatcher.budget.note_request(plan.service.name, now)
@@ -109,9 +111,11 @@
             await caller.write(sent.body)
             await caller.finish()
         finally:
-            dispatcher.end(sent)
+            dispatcher.release(sent)
 
-    async def _stream(self, plan: Plan, caller: CallerPort, sent) -> None:
+    async def _stream(
+        self, plan: Plan, caller: CallerConnection, sent
+    ) -> None:
         clock = self._dispatcher.clock
         try:
             async with asyncio.timeout(plan.deadline - clock.monotonic()):
--- a/packages/gateway/src/chivepier/gateway/serving/sent.py
+++ b/packages/gateway/src/chivepier/gateway/serving/startedanswer.py
@@ -8,7 +8,7 @@
 
 
 @attrs.define
-class Sent:
+class StartedAnswer:
     """What a target answers, and what is read of it so far.
 
     :param target: that answers
--- a/packages/gateway/src/chivepier/gateway/serving/streamend.py
+++ b/packages/gateway/src/chivepier/gateway/serving/streamend.py
@@ -6,5 +6,5 @@
 class StreamEnd(enum.Enum):
     """Whether the target ended its answer or broke it off."""
 
-    WHOLE = "whole"
-    CUT = "cut"
+    COMPLETE = "whole"
+    TRUNCATED = "cut"
--- a/packages/gateway/src/chivepier/gateway/serving/streampace.py
+++ b/packages/gateway/src/chivepier/gateway/serving/streamtiming.py
@@ -3,7 +3,7 @@
 import collections.abc
 
 
-class StreamPace:
+class StreamTiming:
     """Measures the time to the first event and the longest pause after it.
 
     :param arrived: when the request came, in monotonic seconds
@@ -17,17 +17,17 @@
         self._read_time = read_time
         self._last: float | None = None
         self._writes = 0
-        self.first = 0.0
-        self.gap = 0.0
-        self.gap_at = 0
+        self.first_seconds = 0.0
+        self.max_gap = 0.0
+        self.max_gap_index = 0
 
-    def note(self) -> None:
+    def record_write(self) -> None:
         """Note that events are passed on now."""
         now = self._read_time()
         if self._last is None:
-            self.first = now - self._arrived
-        elif now - self._last > self.gap:
-            self.gap = now - self._last
-            self.gap_at = self._writes
+            self.first_seconds = now - self._arrived
+        elif now - self._last > self.max_gap:
+            self.max_gap = now - self._last
+            self.max_gap_index = self._writes
         self._last = now
         self._writes += 1
--- a/packages/gateway/src/chivepier/gateway/serving/targetanswer.py
+++ b/packages/gateway/src/chivepier/gateway/serving/targetanswer.py
@@ -23,7 +23,7 @@
 
         A read that is cancelled loses nothing.
 
-        :raises AnswerCutError: when the body is not whole
+        :raises BrokenAnswerError: when the body is not whole
         """
 
     def close(self) -> None:
--- a/packages/gateway/src/chivepier/gateway/serving/targetcalls.py
+++ b/packages/gateway/src/chivepier/gateway/serving/targetcalls.py
@@ -2,16 +2,16 @@
 
 from chivepier.gateway.permits import Permit
 from chivepier.gateway.serving.callerrequest import CallerRequest
-from chivepier.gateway.serving.errand import Errand
+from chivepier.gateway.serving.callpurpose import CallPurpose
 from chivepier.gateway.serving.errors import NotPermittedError
+from chivepier.gateway.serving.headerrecorder import HeaderRecorder
 from chivepier.gateway.serving.moved import Moved
 from chivepier.gateway.serving.moveoutcome import MoveOutcome
-from chivepier.gateway.serving.remarks import Remarks
 from chivepier.gateway.serving.sendgate import SendGate
-from chivepier.gateway.serving.sendorder import SendOrder
+from chivepier.gateway.serving.sendoptions import SendOptions
 from chivepier.gateway.serving.targetanswer import TargetAnswer
-from chivepier.gateway.serving.targetcontact import TargetContact
-from chivepier.gateway.serving.targetport import TargetPort
+from chivepier.gateway.serving.targetclient import TargetClient
+from chivepier.gateway.serving.targetexchange import TargetExchange
 from chivepier.gateway.targets import Liveness
 from chivepier.gateway.targets import Target
 
@@ -19,32 +19,34 @@
 class TargetCalls:
     """Asks before each call whether it may go, and hears each answer.
 
-    :param port: the protocol towards targets
+    :param client: the protocol towards targets
     :param gate: knows what may be sent where
     :param remarks: notes what answers say of their targets
     """
 
-    def __init__(self, port: TargetPort, gate: SendGate, remarks: Remarks):
-        self._port = port
+    def __init__(
+        self, client: TargetClient, gate: SendGate, recorder: HeaderRecorder
+    ):
+        self._client = client
         self._gate = gate
-        self._remarks = remarks
+        self._recorder = recorder
 
     async def send(
         self,
         target: Target,
         request: CallerRequest,
-        order: SendOrder,
-        errand: Errand,
+        options: SendOptions,
+        purpose: CallPurpose,
         permit: Permit = Permit(),
     ) -> TargetAnswer:
         """Send a request and return the head of its answer.
 
         :raises NotPermittedError: when nothing may be sent there now
         :raises NotSentError: when it never left this process
-        :raises LostError: when no answer came
+        :raises ConnectionLostError: when no answer came
         """
-        contact = self._open(target, errand, permit)
-        return await self._port.send(target, request, order, contact)
+        exchange = self._open_exchange(target, purpose, permit)
+        return await self._client.send(target, request, options, exchange)
 
     async def reserve(
         self, target: Target, tokens: int, seconds: float
@@ -57,8 +59,8 @@
         :raises NotPermittedError: when nothing may be sent there now
         :raises NotSentError: when the target can't be reached
         """
-        contact = self._open(target, Errand.START)
-        return await self._port.reserve(target, tokens, seconds, contact)
+        exchange = self._open_exchange(target, CallPurpose.START)
+        return await self._client.reserve(target, tokens, seconds, exchange)
 
     async def move(
         self,
@@ -74,9 +76,9 @@
         :param seconds: to wait for the copy
         """
         try:
-            contact = self._open(source, Errand.ORDER)
-            return await self._port.move(
-                source, request_id, destination, last, seconds, contact
+            exchange = self._open_exchange(source, CallPurpose.CONTROL)
+            return await self._client.move(
+                source, request_id, destination, last, seconds, exchange
             )
         except NotPermittedError:
             return Moved(MoveOutcome.HELD_BACK)
@@ -89,8 +91,8 @@
         :returns: whether the target says that it is free
         """
         try:
-            contact = self._open(target, Errand.ORDER)
-            return await self._port.drop(target, handle, contact)
+            exchange = self._open_exchange(target, CallPurpose.CONTROL)
+            return await self._client.drop(target, handle, exchange)
         except NotPermittedError:
             # the target frees it by itself some seconds later
             return False
@@ -100,14 +102,14 @@
 
         :param target: that a request was lost at
         """
-        if not self._gate.may_look(target):
+        if not self._gate.may_probe(target):
             return Liveness.UNKNOWN
-        return await self._port.probe(target)
+        return await self._client.probe(target)
 
-    def _open(
-        self, target: Target, errand: Errand, permit: Permit = Permit()
-    ) -> TargetContact:
+    def _open_exchange(
+        self, target: Target, purpose: CallPurpose, permit: Permit = Permit()
+    ) -> TargetExchange:
         # without this a connection would be made to a target for nothing
-        self._gate.check(target, errand, permit)
-        gate, remarks = self._gate, self._remarks
-        return TargetContact(target, errand, permit, gate, remarks)
+        self._gate.check(target, purpose, permit)
+        gate, recorder = self._gate, self._recorder
+        return TargetExchange(target, purpose, permit, gate, recorder)
--- a/packages/gateway/src/chivepier/gateway/serving/targetport.py
+++ b/packages/gateway/src/chivepier/gateway/serving/targetclient.py
@@ -3,15 +3,15 @@
 import typing
 
 from chivepier.gateway.serving.callerrequest import CallerRequest
-from chivepier.gateway.serving.contact import Contact
+from chivepier.gateway.serving.exchange import Exchange
 from chivepier.gateway.serving.moved import Moved
-from chivepier.gateway.serving.sendorder import SendOrder
+from chivepier.gateway.serving.sendoptions import SendOptions
 from chivepier.gateway.serving.targetanswer import TargetAnswer
 from chivepier.gateway.targets import Liveness
 from chivepier.gateway.targets import Target
 
 
-class TargetPort(typing.Protocol):
+class TargetClient(typing.Protocol):
     """What serving needs of the protocol towards targets.
 
     A contact is begun right before the first byte of a call, once its
@@ -22,18 +22,18 @@
         self,
         target: Target,
         request: CallerRequest,
-        order: SendOrder,
-        contact: Contact,
+        options: SendOptions,
+        exchange: Exchange,
     ) -> TargetAnswer:
         """Send a request and return the head of its answer.
 
         :raises NotPermittedError: when the contact must not begin
         :raises NotSentError: when it never left this process
-        :raises LostError: when no answer came
+        :raises ConnectionLostError: when no answer came
         """
 
     async def reserve(
-        self, target: Target, tokens: int, seconds: float, contact: Contact
+        self, target: Target, tokens: int, seconds: float, exchange: Exchange
     ) -> str | None:
         """Reserve a slot and memory before a request is sent.
 
@@ -51,7 +51,7 @@
         destination: Target,
         last: bool,
         seconds: float,
-        contact: Contact,
+        exchange: Exchange,
     ) -> Moved:
         """Copy a live generation's memory to another target.
 
@@ -73,7 +73,7 @@
         """
 
     async def drop(
-        self, target: Target, handle: str, contact: Contact
+        self, target: Target, handle: str, exchange: Exchange
     ) -> bool:
         """Free a copy that no generation goes on from.
 
--- a/packages/gateway/src/chivepier/gateway/serving/targetcontact.py
+++ b/packages/gateway/src/chivepier/gateway/serving/targetexchange.py
@@ -3,13 +3,13 @@
 from chivepier.gateway.limits import LimitWord
 from chivepier.gateway.permits import Permit
 from chivepier.gateway.serving.answerfacts import AnswerFacts
-from chivepier.gateway.serving.errand import Errand
-from chivepier.gateway.serving.remarks import Remarks
+from chivepier.gateway.serving.callpurpose import CallPurpose
+from chivepier.gateway.serving.headerrecorder import HeaderRecorder
 from chivepier.gateway.serving.sendgate import SendGate
 from chivepier.gateway.targets import Target
 
 
-class TargetContact:
+class TargetExchange:
     """Looks before the first byte, and notes what the answer's head says.
 
     :param target: that is contacted
@@ -22,28 +22,28 @@
     def __init__(
         self,
         target: Target,
-        errand: Errand,
+        purpose: CallPurpose,
         permit: Permit,
         gate: SendGate,
-        remarks: Remarks,
+        recorder: HeaderRecorder,
     ):
         self._target = target
-        self._errand = errand
+        self._purpose = purpose
         self._permit = permit
         self._gate = gate
-        self._remarks = remarks
-        self._known: LimitWord | None = None
+        self._recorder = recorder
+        self._known_limit: LimitWord | None = None
 
     def begin(self) -> None:
         """Look once more, with the connection standing.
 
         :raises NotPermittedError: when nothing must be sent now
         """
-        self._gate.check(self._target, self._errand, self._permit)
+        self._gate.check(self._target, self._purpose, self._permit)
         self._gate.note_sent(self._target)
-        self._known = self._remarks.find_word(self._target)
+        self._known_limit = self._recorder.find_limit(self._target)
 
-    def hear(self, facts: AnswerFacts) -> None:
+    def record_head(self, facts: AnswerFacts) -> None:
         """Note what the answer's head says of the target."""
-        if not facts.crossed:
-            self._remarks.take(self._target, facts, self._known)
+        if not facts.mismatched:
+            self._recorder.record(self._target, facts, self._known_limit)
--- a/packages/gateway/src/chivepier/gateway/serving/tests/fakeengines.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/fakeengines.py
@@ -4,9 +4,9 @@
 
 import attrs
 
-from chivepier.gateway.serving import AnswerCutError
 from chivepier.gateway.serving import AnswerFacts
-from chivepier.gateway.serving import LostError
+from chivepier.gateway.serving import BrokenAnswerError
+from chivepier.gateway.serving import ConnectionLostError
 from chivepier.gateway.serving import Moved
 from chivepier.gateway.serving import MoveOutcome
 from chivepier.gateway.serving import NotSentError
@@ -52,7 +52,7 @@
         """Return the next bytes."""
         data = await self._queue.get()
         if data is None:
-            raise AnswerCutError("cut")
+            raise BrokenAnswerError("cut")
         return data
 
     def close(self) -> None:
@@ -110,7 +110,7 @@
         )
         self.orders.append((name, order))
         if name in self.lose:
-            raise LostError("reset")
+            raise ConnectionLostError("reset")
         if name in self.wrong:
             answer.facts = AnswerFacts(other_instance="other")
             answer.status = 421
@@ -126,7 +126,7 @@
             self.answers.append(answer)
         self.sent.set()
         await self.heads.wait()
-        contact.hear(answer.facts)
+        contact.record_head(answer.facts)
         return answer
 
     async def reserve(self, target, tokens, seconds, contact) -> str | None:
@@ -136,9 +136,9 @@
         contact.begin()
         self.asked_room.append(target.instance)
         if target.instance in self.full:
-            contact.hear(self.full_facts)
+            contact.record_head(self.full_facts)
             return None
-        contact.hear(AnswerFacts(limit=None))
+        contact.record_head(AnswerFacts(limit=None))
         self.reserved.append((target.instance, tokens))
         return f"hold-{target.instance}"
 
@@ -154,7 +154,7 @@
         if source.instance in self.dark:
             return Moved(MoveOutcome.NOT_SENT)
         contact.begin()
-        contact.hear(AnswerFacts(limit=None))
+        contact.record_head(AnswerFacts(limit=None))
         self.moves.append((source.instance, destination.instance, last))
         self.moved.set()
         await asyncio.sleep(0)
@@ -198,7 +198,7 @@
     async def drop(self, target, handle, contact) -> bool:
         """Free a copy."""
         contact.begin()
-        contact.hear(AnswerFacts(limit=None))
+        contact.record_head(AnswerFacts(limit=None))
         self.dropped.append((target.instance, handle))
         return True
 
--- a/packages/gateway/src/chivepier/gateway/serving/tests/parts.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/parts.py
@@ -33,12 +33,12 @@
 from chivepier.gateway.quarantine import Quarantine
 from chivepier.gateway.quarantine import shorten
 from chivepier.gateway.serving import CallerRequest
+from chivepier.gateway.serving import CrashGuard
 from chivepier.gateway.serving import Dispatcher
-from chivepier.gateway.serving import Guard
+from chivepier.gateway.serving import HeaderRecorder
 from chivepier.gateway.serving import Mover
 from chivepier.gateway.serving import Planner
 from chivepier.gateway.serving import Prompt
-from chivepier.gateway.serving import Remarks
 from chivepier.gateway.serving import RetryBudget
 from chivepier.gateway.serving import Returns
 from chivepier.gateway.serving import SendGate
@@ -175,7 +175,7 @@
             Metrics(),
         )
         self.leavers = Leavers(self.table)
-        remarks = Remarks(
+        remarks = HeaderRecorder(
             self.limits,
             self.rests,
             self.leavers,
@@ -194,7 +194,7 @@
             log,
             Metrics(),
         )
-        guard = Guard(self.quarantine, clock)
+        guard = CrashGuard(self.quarantine, clock)
         self.mover = Mover(
             calls,
             chooser,
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_remarks.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_headerrecorder.py
@@ -1,4 +1,4 @@
-"""Tests of what is noted of targets' words beside their answers."""
+"""Tests of what is fixture of targets' words beside their answers."""
 
 import json
 import random
@@ -15,15 +15,15 @@
 from chivepier.gateway.limits import UnreadRest
 from chivepier.gateway.metrics import Metrics
 from chivepier.gateway.serving import AnswerFacts
-from chivepier.gateway.serving import Remarks
-from chivepier.gateway.serving.remarks import MOST_UNREAD
+from chivepier.gateway.serving import HeaderRecorder
+from chivepier.gateway.serving.headerrecorder import MAX_UNKNOWN_HEADERS
 from chivepier.gateway.serving.tests.fakeengines import make_target
 from chivepier.gateway.targets import Leavers
 from chivepier.gateway.targets import TargetTable
 from chivepier.types import ManualClock
 
 
-class Noted:
+class RecorderFixture:
     """Remarks with a log and counters that can be read."""
 
     def __init__(self):
@@ -35,7 +35,7 @@
         self.clock = ManualClock()
         self.table = TargetTable(1.0)
         self.leavers = Leavers(self.table)
-        self.remarks = Remarks(
+        self.recorder = HeaderRecorder(
             self.limits,
             self.rests,
             self.leavers,
@@ -45,10 +45,10 @@
             self.metrics,
         )
 
-    def take(self, **words) -> None:
+    def record(self, **words) -> None:
         """Note an answer of one target."""
         facts, target = AnswerFacts(**words), make_target("i1")
-        self.remarks.take(target, facts, self.remarks.find_word(target))
+        self.recorder.record(target, facts, self.recorder.find_limit(target))
 
     def read_lines(self) -> list[dict]:
         """Return what was logged."""
@@ -57,81 +57,86 @@
 
 
 def test_each_change_of_a_limit_is_believed():
-    noted = Noted()
+    fixture = RecorderFixture()
     news = []
-    noted.limits.watchers.append(lambda word, before: news.append(word.rate))
+    fixture.limits.watchers.append(lambda word, before: news.append(word.rate))
     for limit in (RateLimit(1.5), RateLimit(1.5), RateLimit(1.0), NoLimit()):
-        noted.take(limit=limit)
-        noted.take(limit=limit)
+        fixture.record(limit=limit)
+        fixture.record(limit=limit)
     assert news == [1.5, 1.0, None]
 
 
 def test_limit_that_is_no_number_changes_no_belief():
-    noted = Noted()
-    noted.take(limit=RateLimit(1.5))
-    noted.take(limit=UnreadLimit())
-    assert noted.limits.find_rate("i1", 0) == 1.5
-    (line,) = noted.read_lines()
+    fixture = RecorderFixture()
+    fixture.record(limit=RateLimit(1.5))
+    fixture.record(limit=UnreadLimit())
+    assert fixture.limits.find_rate("i1", 0) == 1.5
+    (line,) = fixture.read_lines()
     assert line["event"] == "header_unread"
 
 
 def test_unread_header_is_logged_once_and_counted():
-    noted = Noted()
+    fixture = RecorderFixture()
     for _ in range(3):
-        noted.take(unread=("Server-Wish",))
-    (line,) = noted.read_lines()
+        fixture.record(unknown_headers=("Server-Wish",))
+    (line,) = fixture.read_lines()
     assert line["event"] == "header_unread"
     assert line["header"] == "server-wish"
     counted = b'chivepier_unread_headers_total{header="server-wish"} 3.0'
-    assert counted in noted.metrics.render()
+    assert counted in fixture.metrics.render()
 
 
 def test_targets_can_make_up_any_number_of_headers():
-    noted = Noted()
-    noted.take(unread=tuple(f"x-{n}" for n in range(2 * MOST_UNREAD)))
-    assert noted.metrics.render().count(b"headers_total{") == MOST_UNREAD
+    fixture = RecorderFixture()
+    fixture.record(
+        unknown_headers=tuple(f"x-{n}" for n in range(2 * MAX_UNKNOWN_HEADERS))
+    )
+    assert (
+        fixture.metrics.render().count(b"headers_total{")
+        == MAX_UNKNOWN_HEADERS
+    )
 
 
 def test_rest_is_logged_once_and_counted_each_time():
-    noted = Noted()
+    fixture = RecorderFixture()
     for _ in range(3):
-        noted.take(rest=AskedRest(3.0))
-    (line,) = noted.read_lines()
+        fixture.record(rest=AskedRest(3.0))
+    (line,) = fixture.read_lines()
     assert (line["event"], line["seconds"]) == ("rest_asked", 3.0)
     counted = b'chivepier_rests_total{service="llm"} 3.0'
-    assert counted in noted.metrics.render()
+    assert counted in fixture.metrics.render()
 
 
 def test_rest_that_is_no_number_is_told():
-    noted = Noted()
-    noted.take(rest=UnreadRest())
-    noted.take(rest=NoRest())
-    (line,) = noted.read_lines()
+    fixture = RecorderFixture()
+    fixture.record(rest=UnreadRest())
+    fixture.record(rest=NoRest())
+    (line,) = fixture.read_lines()
     assert line["header"] == "rest that is no number"
-    assert not noted.rests
+    assert not fixture.rests
 
 
 def test_another_instance_at_the_address_asks_for_itself():
-    noted = Noted()
-    noted.take(rest=AskedRest(3.0), other_instance="i2")
-    assert not noted.rests
+    fixture = RecorderFixture()
+    fixture.record(rest=AskedRest(3.0), other_instance="i2")
+    assert not fixture.rests
 
 
 def test_target_that_leaves_is_logged_once():
-    noted = Noted()
-    noted.table.put(make_target("i1"))
+    fixture = RecorderFixture()
+    fixture.table.put(make_target("i1"))
     for _ in range(3):
-        noted.take(leaving=True)
-    (line,) = noted.read_lines()
+        fixture.record(leaving=True)
+    (line,) = fixture.read_lines()
     assert (line["event"], line["target"]) == ("leaving_told", "i1")
-    assert noted.table.leaves("i1")
+    assert fixture.table.leaves("i1")
 
 
 def test_another_instance_at_the_address_says_that_it_leaves_itself():
-    noted = Noted()
-    noted.table.put(make_target("i1"))
-    noted.table.put(make_target("i2"))
-    noted.take(leaving=True, other_instance="i2")
-    assert noted.table.leaves("i2") and not noted.table.leaves("i1")
-    noted.take(leaving=True, other_instance="")
-    assert not noted.table.leaves("i1")
+    fixture = RecorderFixture()
+    fixture.table.put(make_target("i1"))
+    fixture.table.put(make_target("i2"))
+    fixture.record(leaving=True, other_instance="i2")
+    assert fixture.table.leaves("i2") and not fixture.table.leaves("i1")
+    fixture.record(leaving=True, other_instance="")
+    assert not fixture.table.leaves("i1")
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_silence.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_silence.py
@@ -23,7 +23,7 @@
     """Let seconds pass in which nothing came of any generation."""
     for runs in parts.mover._runs.values():
         for run in runs:
-            run.heard -= seconds
+            run.heard_at -= seconds
     await parts.mover.end_silent()
 
 
--- a/tests/adapter/exchange.py
+++ b/tests/adapter/exchange.py
@@ -3,12 +3,12 @@
 import asyncio
 
 from adapter.targets import Targets
-from chivepier.gateway.serving import SendOrder
+from chivepier.gateway.serving import SendOptions
 import rawtarget
 
 FULL = b"503 Service Unavailable"
-ORDER = SendOrder(seconds=1.5, team="t1", urgency=2)
-ONCE = SendOrder(seconds=1.5, once=True)
+ORDER = SendOptions(seconds=1.5, team="t1", urgency=2)
+ONCE = SendOptions(seconds=1.5, once=True)
 
 
 def answer(
@@ -43,7 +43,7 @@
     def begin(self) -> None:
         """Allow everything."""
 
-    def hear(self, facts) -> None:
+    def record_head(self, facts) -> None:
         """Note an answer's head."""
         self.heard.append(facts)
 
--- a/tests/adapter/test_heads.py
+++ b/tests/adapter/test_heads.py
@@ -42,7 +42,7 @@
             targets, raw.make_target(), rawtarget.make_request(), ORDER
         )
         assert reply.facts.limit == limit
-        assert reply.facts.unread == ()
+        assert reply.facts.unknown_headers == ()
         assert await read_all(reply) == b"ok"
 
     run(script, test)
@@ -95,7 +95,7 @@
             targets, raw.make_target(), rawtarget.make_request(), ORDER
         )
         assert reply.facts.rest == rest
-        assert reply.facts.unread == ()
+        assert reply.facts.unknown_headers == ()
 
     run(script, test)
 
@@ -133,6 +133,6 @@
         reply = await send(
             targets, raw.make_target(), rawtarget.make_request(), ORDER
         )
-        assert reply.facts.unread == ("Server-Wish",)
+        assert reply.facts.unknown_headers == ("Server-Wish",)
 
     run(script, test)
--- a/tests/adapter/test_targets.py
+++ b/tests/adapter/test_targets.py
@@ -6,13 +6,13 @@
 
 from adapter.targets import Targets
 from chivepier.gateway.limits import AskedRest
-from chivepier.gateway.serving import AnswerCutError
-from chivepier.gateway.serving import LostError
+from chivepier.gateway.serving import BrokenAnswerError
+from chivepier.gateway.serving import ConnectionLostError
+from chivepier.gateway.serving import KvOrigin
 from chivepier.gateway.serving import MoveOutcome
 from chivepier.gateway.serving import NotPermittedError
 from chivepier.gateway.serving import NotSentError
-from chivepier.gateway.serving import Origin
-from chivepier.gateway.serving import SendOrder
+from chivepier.gateway.serving import SendOptions
 from chivepier.gateway.targets import Liveness
 from exchange import answer
 from exchange import drop
@@ -96,7 +96,7 @@
         reply = await send(
             targets, raw.make_target(), rawtarget.make_request(), ORDER
         )
-        with pytest.raises(AnswerCutError):
+        with pytest.raises(BrokenAnswerError):
             await read_all(reply)
 
     run(script, test)
@@ -130,7 +130,7 @@
         reply = await send(
             targets, raw.make_target(), rawtarget.make_request(), ORDER
         )
-        with pytest.raises(AnswerCutError):
+        with pytest.raises(BrokenAnswerError):
             await read_all(reply)
 
     run(script, test)
@@ -161,7 +161,7 @@
         second = await send(
             targets, target, rawtarget.make_request("r2"), ORDER
         )
-        assert not second.facts.crossed
+        assert not second.facts.mismatched
         assert await read_all(second) == b"r2"
         assert raw.connections == 2
 
@@ -176,7 +176,7 @@
         reply = await send(
             targets, raw.make_target(), rawtarget.make_request(), ORDER
         )
-        assert reply.facts.crossed
+        assert reply.facts.mismatched
 
     run(script, test)
 
@@ -196,7 +196,7 @@
             targets, target, rawtarget.make_request("r1"), ORDER
         )
         await read_all(first)
-        with pytest.raises(LostError):
+        with pytest.raises(ConnectionLostError):
             await send(targets, target, rawtarget.make_request("x2"), ORDER)
         sent = [head for head in raw.requests if b"x2" in head]
         assert len(sent) == 1
@@ -320,9 +320,9 @@
         writer.write(answer(b"ok"))
 
     async def test(raw, targets):
-        order = SendOrder(
+        order = SendOptions(
             seconds=1.0,
-            origin=Origin("10.0.0.1:80", "h1"),
+            origin=KvOrigin("10.0.0.1:80", "h1"),
             after_event="7",
         )
         reply = await send(
