--- a/packages/gateway/src/chivepier/gateway/serving/answerfacts.py
+++ b/packages/gateway/src/chivepier/gateway/serving/answerfacts.py
@@ -1,4 +1,4 @@
-"""What a target's answer says besides its content."""
+"""Metadata in the head of an answer."""
 
 import attrs
 
@@ -10,19 +10,19 @@
 
 @attrs.frozen(kw_only=True)
 class AnswerFacts:
-    """Read from the head of an answer.
+    """Metadata that was parsed from the head of an answer.
 
-    :param not_run: the target says that it did not run the request
-    :param other_instance: another instance has the address; its name, or
-        empty when it does not tell
-    :param crossed: the answer belongs to another request
-    :param framed: the head says where the answer ends; else its connection
-        does
-    :param limit: the rate that the target takes; ``None`` where the answer
-        is of a kind that tells of none
-    :param rest: for how long the target wants nothing from this entry
-    :param leaving: the target says that it leaves
-    :param unread: names of headers that nothing reads
+    :param not_run: whether the target states that it did not run the request
+    :param other_instance: name of the instance that answered instead of the
+        target, empty if unknown; ``None`` if the target answered
+    :param mismatched: whether the answer belongs to another request
+    :param framed: whether the head tells where the body ends; otherwise the
+        end of the connection ends it
+    :param limit: rate limit of the target; ``None`` if answers of this kind
+        carry none
+    :param rest: how long the target asks this entry to send nothing
+    :param leaving: whether the target announces that it leaves
+    :param unknown_headers: names of headers that are not understood
     """
 
     not_run: bool = False
--- a/packages/gateway/src/chivepier/gateway/serving/callerconnection.py
+++ b/packages/gateway/src/chivepier/gateway/serving/callerconnection.py
@@ -1,10 +1,10 @@
-"""Answering one caller, as an interface."""
+"""Interface of the connection to a caller."""
 
 import typing
 
 
 class CallerConnection(typing.Protocol):
-    """What serving needs of a caller's connection."""
+    """Sends one answer to a caller."""
 
     async def begin(
         self,
@@ -12,7 +12,7 @@
         headers: tuple[tuple[str, str], ...],
         length: int | None,
     ) -> None:
-        """Send the head of the answer; once."""
+        """Send the head of the answer; called once."""
 
     async def write(self, data: bytes) -> None:
         """Send a part of the body."""
@@ -21,4 +21,4 @@
         """End the answer as complete."""
 
     def abort(self) -> None:
-        """End the connection so that the answer can't pass for whole."""
+        """Close the connection so that the answer is seen as incomplete."""
--- a/packages/gateway/src/chivepier/gateway/serving/callpurpose.py
+++ b/packages/gateway/src/chivepier/gateway/serving/callpurpose.py
@@ -1,14 +1,15 @@
-"""What a target is contacted for."""
+"""Why a target is called."""
 
 import enum
 
 
 class CallPurpose(enum.Enum):
-    """What may be sent to a target depends on it.
+    """The purpose of a call, which decides whether it is permitted.
 
-    ``START`` is new work: a request, or a reservation for one. ``GO_ON`` is a
-    generation that goes on from its memory there, and would be lost else.
-    ``ORDER`` concerns what is there already: a move, or a copy to be freed.
+    ``START`` is new work: a request or a reservation for one. ``RESUME``
+    resumes a generation from a KV cache at the target; it would be lost
+    otherwise. ``CONTROL`` concerns generations and copies that are already
+    there: to migrate a generation or to free a copy.
     """
 
     START = "start"
--- a/packages/gateway/src/chivepier/gateway/serving/crashguard.py
+++ b/packages/gateway/src/chivepier/gateway/serving/crashguard.py
@@ -1,4 +1,4 @@
-"""Keeping requests from targets that would end under them."""
+"""Blocks requests that have crashed several targets."""
 
 import datetime
 
@@ -15,13 +15,13 @@
 
 
 class CrashGuard:
-    """Asked before each send, and told what came of it.
+    """Checks requests against the quarantine and reports results to it.
 
-    Before each one: what waited for room, was lost at one target or goes on
-    elsewhere may meanwhile be known to end what runs it.
+    It is asked before each send, not once per request: a request may be
+    quarantined while it waits for capacity, is retried or is resumed.
 
-    :param quarantine: what is known
-    :param clock: monotonic time
+    :param quarantine: the quarantined requests
+    :param clock: monotonic clock
     """
 
     def __init__(self, quarantine: Quarantine, clock: Clock):
@@ -29,24 +29,24 @@
         self._clock = clock
 
     def is_held(self, plan: Plan) -> bool:
-        """Tell whether a request must not be sent to a target."""
-        # digests cost some microseconds, and hardly ever is anything held
+        """Return whether a request is quarantined."""
+        # a digest costs some microseconds, and the quarantine is mostly empty
         quarantine = self._quarantine
         return not quarantine.idle and bool(quarantine.find_hold(plan.digest))
 
     def check(self, plan: Plan, runs: int) -> None:
-        """Turn a request away that must not be sent to a target.
+        """Refuse a request that is quarantined.
 
-        :param plan: the request's
-        :param runs: targets that may have run it in this attempt
-        :raises RequestError: with when it may be sent again; that it has not
-            run is said only where no target had it
+        :param plan: the plan of the request
+        :param runs: number of targets that may have run it in this attempt
+        :raises RequestError: when it is quarantined. If no target received
+            it, the error says that it has not run and when to retry.
         """
         if not self.is_held(plan):
             return
         hold = self._quarantine.find_hold(plan.digest)
         self._quarantine.note_refused(plan.request.id, plan.team or "", hold)
-        text = "targets ended as they ran this request"
+        text = "several targets crashed while they ran this request"
         if runs:
             raise RequestError.of(ErrorKind.TARGET_FAILED, text, Ran.UNKNOWN)
         left = hold.until - self._clock.monotonic()
@@ -61,13 +61,15 @@
         first_event_at: float | None,
         disconnected: bool,
     ) -> None:
-        """Take that a target was lost under a request.
-
-        :param plan: the request's
-        :param target: where it was
-        :param sent: when it was sent there, in monotonic seconds
-        :param begun: when its first event came; ``None`` before that
-        :param broke: whether the connection broke; else nothing came in time
+        """Report that a target failed while it had a request.
+
+        :param plan: the plan of the request
+        :param target: the target that failed
+        :param sent_at: when the request was sent, in monotonic seconds
+        :param first_event_at: when its first event arrived, in monotonic
+            seconds; ``None`` if none did
+        :param disconnected: whether the connection broke; otherwise the
+            target did not answer in time
         """
         self._quarantine.note_loss(
             Loss(
@@ -83,17 +85,17 @@
         )
 
     async def wait_for_verdict(self, plan: Plan, target: Target) -> None:
-        """Wait for a moment until it is known why a request was lost."""
+        """Wait briefly until it is known whether the target crashed."""
         await self._quarantine.settle(plan.digest, target)
 
     def note_answered(self, plan: Plan, facts: AnswerFacts) -> None:
-        """Take that a target answered a request whole.
+        """Report that a target answered a request completely.
 
-        Where only the end of the connection ends an answer, that of a process
-        that ends looks the same, and would clear the request that ended it.
+        An answer that is delimited by closing the connection does not count:
+        a crash looks the same, and would clear the request that caused it.
 
-        :param plan: the request's
-        :param facts: of the answer
+        :param plan: the plan of the request
+        :param facts: the parsed head of the answer
         """
         if facts.framed:
             self._quarantine.note_answered(plan.digest)
--- a/packages/gateway/src/chivepier/gateway/serving/dispatcher.py
+++ b/packages/gateway/src/chivepier/gateway/serving/dispatcher.py
@@ -1,4 +1,4 @@
-"""Sending a request until a target answers it."""
+"""Sends a request to targets, with retries, until one answers it."""
 
 import asyncio
 
@@ -37,33 +37,36 @@
 from chivepier.gateway.targets import TargetTable
 from chivepier.types import Clock
 
-# Objectives after which an attempt that could be repeated is given up.
+# Timeout of an attempt that may be retried, in multiples of the route's
+# latency objective.
 ATTEMPT_TIMEOUT_OBJECTIVES = 2.0
-# A target that refused may have room again after so many seconds.
+# Pause after a round in which all targets refused, times the number of rounds:
+# a target may have capacity again after this long.
 REFUSED_RETRY_SECONDS = 0.03
 SERVER_ERROR_STATUS = 500
-# Urgency at a target of all generations that start there. By class, a short
-# answer would preempt a long one, whose whole prompt is then read again.
+# Urgency that a target is sent for every new generation. With the urgency of
+# their class, short generations would preempt long ones, whose prompts would
+# then be prefilled again.
 START_URGENCY = 5
 
 
 class Dispatcher:
-    """Picks targets, one after the other, within what may be repeated.
+    """Sends requests to targets and retries within the retry budget.
 
-    :param state: entries that share budgets
-    :param table: the targets
-    :param chooser: picks among them
-    :param health: learns how they answer
-    :param board: what runs where
-    :param queues: what waits for room
-    :param mover: watches generations
-    :param calls: reaches targets
-    :param budget: bounds repeats
-    :param guard: keeps back what ends targets
-    :param gate: knows what may be sent where
-    :param returns: when refused callers may come back
-    :param clock: monotonic time
-    :param log: decisions on requests
+    :param state: number of entries that share the retry budget
+    :param table: the known targets
+    :param chooser: load balancer that picks among them
+    :param health: failure and latency statistics of targets
+    :param board: load of each target
+    :param queues: requests that wait for capacity
+    :param mover: migrates generations off targets that leave
+    :param calls: client for calls to targets
+    :param budget: limits retries
+    :param guard: blocks requests that crash targets
+    :param gate: decides what may be sent to which target
+    :param returns: schedules when refused callers may retry
+    :param clock: monotonic clock
+    :param log: event log for decisions on requests
     """
 
     def __init__(
@@ -102,12 +105,12 @@
         )
 
     async def dispatch(self, plan: Plan) -> StartedAnswer:
-        """Send a request until a target runs it.
+        """Send a request to one target after another until one runs it.
 
-        :param plan: what to do
-        :returns: the answer to be relayed; whoever takes it must call
-            :meth:`end`
-        :raises RequestError: when it is given up
+        :param plan: the request and its route
+        :returns: the answer to relay, which the caller must pass to
+            :meth:`release`
+        :raises RequestError: when no further attempt is possible
         """
         tried: set[str] = set()
         runs = rounds = 0
@@ -117,7 +120,7 @@
             self.guard.check(plan, runs)
             await self.gate.wait_fresh()
             place = await self._find_place(plan, tried, runs)
-            # it may have waited for long
+            # the request may have been quarantined while it waited
             self.guard.check(plan, runs)
             if place is None:
                 rounds += 1
@@ -126,7 +129,9 @@
                 await self.clock.sleep(REFUSED_RETRY_SECONDS * rounds)
                 continue
             if not retry_counted and not self.take_retry(plan):
-                raise self._refusals.give_up(plan, runs, "no repeats are left")
+                raise self._refusals.give_up(
+                    plan, runs, "the retry budget is exhausted"
+                )
             retry_counted = False
             self._log_placement(plan, place)
             target = place.target
@@ -136,7 +141,7 @@
                 started = await self._attempt(plan, place, may_retry)
             except NotSentError as error:
                 self._note_not_sent(plan, target, error)
-                # nothing arrived anywhere: the next send is no repeat
+                # the request did not arrive, so the next send is no retry
                 retry_counted = True
                 continue
             except (
@@ -160,7 +165,8 @@
                 return started
             if not may_retry:
                 return started
-            # without a repeat, the target's own answer says more than ours
+            # if no retry is possible, the target's own error answer tells the
+            # caller more than one of this entry would
             retry_counted = self._has_time(plan) and self.take_retry(plan)
             if not retry_counted:
                 return started
@@ -172,7 +178,7 @@
         try:
             return await self._placing.find(plan, tried)
         except NoCapacityError:
-            text = "no target has room"
+            text = "no target has capacity"
             raise self._refusals.give_up(plan, runs, text) from None
         except RateLimitedError as error:
             raise self._refusals.give_up_over_limit(
@@ -219,12 +225,12 @@
         return left > plan.route.objective / 4
 
     def take_retry(self, plan: Plan) -> bool:
-        """Count one more send of a request, if the budget has one left."""
+        """Take one retry from the budget and return whether it had one."""
         now = self.clock.monotonic()
         return self.budget.take(plan.service.name, now, self.state.entries)
 
     def release(self, started: StartedAnswer) -> None:
-        """Give back what an answer holds."""
+        """Stop tracking an answer and close it if it is a stream."""
         if started.run is not None:
             self.runs.untrack(started.run)
             started.answer.close()
@@ -281,10 +287,10 @@
         run: LiveRun | None,
     ) -> StartedAnswer:
         if answer.facts.mismatched:
-            raise BrokenAnswerError("an answer to another request")
+            raise BrokenAnswerError("the answer belongs to another request")
         if plan.route.streaming and answer.status < 300:
-            # the head alone promises nothing: until the first event the
-            # request can still be sent elsewhere
+            # wait for the first event: until then nothing was sent to the
+            # caller, and the request can be retried elsewhere
             first = await answer.read()
             if run is None:
                 run = self.runs.start(plan, target)
@@ -347,13 +353,14 @@
         first_event_at: float | None,
         error: BaseException,
     ) -> None:
-        """Note that a target broke off, or fell silent, under a request.
+        """Log and report that a target failed while it had a request.
 
-        :param plan: the request's
-        :param target: where it was sent
-        :param sent: when, in monotonic seconds
-        :param begun: when its first event came; ``None`` before that
-        :param error: how it ended
+        :param plan: the plan of the request
+        :param target: the target that it was sent to
+        :param sent_at: when it was sent, in monotonic seconds
+        :param first_event_at: when its first event arrived, in monotonic
+            seconds; ``None`` if none did
+        :param error: a timeout or the error of the connection
         """
         now = self.clock.monotonic()
         self.log.warn(
@@ -379,6 +386,6 @@
 
     def _avoid_target(self, target: Target) -> None:
         if self.table.is_current(target):
-            # one that has started again is not avoided for what its earlier
-            # life left unanswered
+            # a target that has restarted is not avoided because its previous
+            # incarnation did not answer
             self.chooser.avoid(target.instance)
--- a/packages/gateway/src/chivepier/gateway/serving/errors.py
+++ b/packages/gateway/src/chivepier/gateway/serving/errors.py
@@ -1,43 +1,47 @@
-"""How a send to a target can fail."""
+"""Errors of sending a request to a target."""
 
 
 class NotSentError(Exception):
-    """The request never left this process: it has surely not run."""
+    """The request was not sent, so it has certainly not run."""
 
 
 class NotPermittedError(NotSentError):
-    """The request must not be sent to this target now."""
+    """The target must not be called now, see :class:`SendGate`."""
 
 
 class NoCapacityError(Exception):
-    """No target had room for as long as the request could wait."""
+    """No target had capacity while the request could wait."""
 
 
 class RateLimitedError(Exception):
-    """All targets that are left are in need, and take no more now.
+    """All remaining targets have a rate limit that is used up.
 
-    :param rate: requests a second that they take together
+    :param rate: sum of their rate limits, in requests per second
     """
 
     def __init__(self, rate: float):
-        super().__init__(f"targets in need take {rate:g} requests a second")
+        super().__init__(
+            f"rate limit of all targets reached: {rate:g} requests/s"
+        )
         self.rate = rate
 
 
 class AllAtRestError(Exception):
     """All targets have asked this entry to send nothing for a while.
 
-    :param seconds: until the first of them may be sent something
+    :param seconds: time until the first target may be called, in seconds
     """
 
     def __init__(self, seconds: float):
-        super().__init__(f"all targets are at rest for {seconds:.3f} s")
+        super().__init__(
+            f"all targets asked for a rest, the first for {seconds:.3f} s"
+        )
         self.seconds = seconds
 
 
 class ConnectionLostError(Exception):
-    """The connection broke before an answer: it may have run."""
+    """The connection broke before an answer; the request may have run."""
 
 
 class BrokenAnswerError(Exception):
-    """An answer began and broke off, or is not one to this request."""
+    """An answer is incomplete or belongs to another request."""
--- a/packages/gateway/src/chivepier/gateway/serving/eventsplitter.py
+++ b/packages/gateway/src/chivepier/gateway/serving/eventsplitter.py
@@ -1,15 +1,15 @@
-"""Cutting a stream of bytes into whole events."""
+"""Splits a stream of bytes into server-sent events."""
 
-# Two line ends in a row end an event; targets may use either form.
+# An empty line ends an event; targets may use either line ending.
 EVENT_TERMINATORS = (b"\n\n", b"\r\n\r\n")
 
 
 class EventSplitter:
-    """Holds back what is no whole event yet.
+    """Buffers bytes until they form a complete event.
 
-    A target may stop in the middle of an event. What was passed on of it
-    could not be taken back when the stream goes on elsewhere, and would
-    reach the caller as a torn event.
+    A target may fail in the middle of an event. If a part of it had been
+    passed on, a stream that is resumed elsewhere would contain a corrupt
+    event.
 
     >>> splitter = EventSplitter()
     >>> splitter.feed(b"id: 1\\ndata: a\\n\\nid: 2\\nda")
@@ -22,10 +22,10 @@
         self._partial = b""
 
     def feed(self, data: bytes) -> list[tuple[bytes, int | None]]:
-        """Take bytes and return the events that they complete.
+        """Add bytes to the buffer and return the events that are complete.
 
         :param data: the next bytes of the stream
-        :returns: each event's bytes, and its number where it has one
+        :returns: the bytes of each event and its number, ``None`` without one
         """
         data = self._partial + data
         events = []
@@ -36,7 +36,7 @@
         return events
 
     def take_remainder(self) -> bytes:
-        """Return what no event's end followed."""
+        """Return and clear the bytes of the last, unterminated event."""
         rest, self._partial = self._partial, b""
         return rest
 
@@ -51,10 +51,10 @@
 
 
 def parse_event_number(event: bytes) -> int | None:
-    """Read an event's number.
+    """Parse the number in the ``id`` field of an event.
 
-    :param event: its bytes
-    :returns: the number, ``None`` when it has none
+    :param event: the bytes of the event
+    :returns: the number; ``None`` if the field is missing or no number
     """
     for line in event.splitlines():
         if line.startswith(b"id:"):
--- a/packages/gateway/src/chivepier/gateway/serving/exchange.py
+++ b/packages/gateway/src/chivepier/gateway/serving/exchange.py
@@ -1,4 +1,4 @@
-"""One exchange with a target, as an interface."""
+"""Interface of one call to a target."""
 
 import typing
 
@@ -6,16 +6,17 @@
 
 
 class Exchange(typing.Protocol):
-    """Asked right before bytes go out, and told what comes back.
+    """Called right before a request is sent and when its answer arrives.
 
-    What was decided before a connection stood may be wrong by then.
+    The check is repeated here since it may have become outdated while the
+    connection was established.
     """
 
     def begin(self) -> None:
-        """Look once more whether anything may be sent.
+        """Check again whether the request may be sent.
 
-        :raises NotPermittedError: when it must not be
+        :raises NotPermittedError: when it must not be sent
         """
 
     def record_head(self, facts: AnswerFacts) -> None:
-        """Take what the head of the answer says of the target."""
+        """Record what the head of the answer reports of the target."""
--- a/packages/gateway/src/chivepier/gateway/serving/headerrecorder.py
+++ b/packages/gateway/src/chivepier/gateway/serving/headerrecorder.py
@@ -1,4 +1,4 @@
-"""What targets say of themselves beside their answers."""
+"""Records what answer headers report about their targets."""
 
 from chivepier.gateway.eventlog import EventLog
 from chivepier.gateway.limits import AskedRest
@@ -16,27 +16,28 @@
 from chivepier.gateway.targets import TargetTable
 from chivepier.types import Clock
 
-# Headers that are counted by name; a target could make up any number.
+# Limit of unknown headers that are counted by name, as a target may send any
+# number of different ones.
 MAX_UNKNOWN_HEADERS = 32
-# What a limit that is no number is counted as.
+# Name under which a rate limit that can't be parsed is counted.
 INVALID_LIMIT = "limit that is no number"
-# The same of a time in which a target wants nothing.
+# Name under which a rest that can't be parsed is counted.
 INVALID_REST = "rest that is no number"
 
 
 class HeaderRecorder:
-    """Notes what each answer's head says of its target.
-
-    A header that nothing reads may be a new word that all entries need: its
-    first coming is logged, whatever target sends it.
-
-    :param limits: what is believed of targets in need
-    :param rests: which targets get nothing for a while
-    :param leavers: which targets say that they leave
-    :param table: the targets
-    :param clock: monotonic time
-    :param log: what targets say
-    :param metrics: counts headers that nothing reads
+    """Records rate limits, rests and departures from the heads of answers.
+
+    An unknown header may belong to a newer protocol that entries should
+    support, so its first occurrence at any target is logged.
+
+    :param limits: rate limits of targets
+    :param rests: targets that asked to be sent nothing for a while
+    :param leavers: targets that announced that they leave
+    :param table: the known targets
+    :param clock: monotonic clock
+    :param log: event log
+    :param metrics: counts unknown headers and rests
     """
 
     def __init__(
@@ -59,20 +60,20 @@
         self._unknown_headers: set[str] = set()
 
     def find_limit(self, target: Target) -> LimitWord | None:
-        """Return what is believed of a target's limit."""
+        """Return the last known rate limit of a target."""
         return self._limits.find(target.instance, target.born)
 
     def record(
         self, target: Target, facts: AnswerFacts, known: LimitWord | None
     ) -> None:
-        """Note an answer's head.
+        """Record the head of an answer.
 
-        That of another instance at the target's address says nothing of the
-        target, and may say that the other one leaves.
+        If another instance answered at the target's address, only its leaving
+        is recorded, and for that instance.
 
-        :param target: that answered
-        :param facts: read from the head
-        :param known: what was believed of its limit when it was sent to
+        :param target: the target that was called
+        :param facts: the parsed head
+        :param known: the limit that was known when the request was sent
         """
         for name in facts.unknown_headers:
             self._count_unknown_header(target, name.lower())
@@ -142,5 +143,5 @@
 
 
 def describe_rest(rest: Rest) -> float | None:
-    """Return the seconds that a target asked for, for the log."""
+    """Return the length of a rest in seconds, for the event log."""
     return rest.seconds if isinstance(rest, AskedRest) else None
--- a/packages/gateway/src/chivepier/gateway/serving/kvorigin.py
+++ b/packages/gateway/src/chivepier/gateway/serving/kvorigin.py
@@ -1,14 +1,14 @@
-"""Where a generation's memory is to be taken from."""
+"""Where to fetch the KV cache of a generation from."""
 
 import attrs
 
 
 @attrs.frozen
 class KvOrigin:
-    """A copy of a live generation's memory.
+    """A copy of the KV cache of a generation.
 
-    :param address: of the target that names the copy
-    :param handle: what it calls the copy
+    :param address: address of the target that issued the handle
+    :param handle: identifier of the copy at that target
     """
 
     address: str
--- a/packages/gateway/src/chivepier/gateway/serving/liverun.py
+++ b/packages/gateway/src/chivepier/gateway/serving/liverun.py
@@ -1,4 +1,4 @@
-"""A generation that is being relayed."""
+"""State of a generation that is being relayed."""
 
 import asyncio
 import collections.abc
@@ -12,40 +12,41 @@
 from chivepier.gateway.serving.plan import Plan
 from chivepier.gateway.targets import Target
 
-# A copy to another availability zone takes this many times as long.
+# Factor by which a copy takes longer to another availability zone.
 CROSS_ZONE_COPY_FACTOR = 2.0
-# Seconds that the calls of one move take besides: two copies are asked for
-# and answered, some milliseconds each, and a target is sometimes slow.
+# Seconds that the calls of one migration add to the copying: two copies are
+# requested and answered in some milliseconds each, but targets may be slow.
 MOVE_CALLS_SECONDS = 0.06
 
 
 @attrs.define(eq=False)
 class LiveRun:
-    """Where a generation runs, and where it goes on when it must leave.
-
-    :param plan: the request's
-    :param target: where it runs
-    :param counted: memory that other entries are told of: what it takes now
-        and within the next seconds
-    :param reading: tokens that its target reads in before its first event
-    :param ahead: tokens that are read there until its first event, its own
-        included
-    :param sent: when it was sent there, in monotonic seconds
-    :param heard: when anything last came from its target, in monotonic
-        seconds; when it was sent there until then
-    :param moves: whether it is moved when its target leaves: one that may be
-        run anew is short, and better left to end or to be run again
-    :param number: of the last event that the caller has
-    :param began: when its first event came from this target, in monotonic
+    """A generation at its current target and the state of its migration.
+
+    :param plan: the plan of the request
+    :param target: the target that runs it
+    :param counted_tokens: KV cache reported to other entries, in tokens: the
+        current size and the growth of the next seconds
+    :param prefill_tokens: tokens that its target prefills for it
+    :param prefill_backlog: tokens that its target prefills before its first
+        event, its own included
+    :param sent_at: when it was sent to its target, in monotonic seconds
+    :param heard_at: when its target last sent anything, in monotonic seconds;
+        initially ``sent_at``
+    :param movable: whether it is migrated when its target leaves. One that may
+        be rerun is short: it is left to finish, or to be rerun.
+    :param last_event_number: number of the last event sent to the caller
+    :param first_event_at: when its target sent the first event, in monotonic
         seconds; ``None`` until then
-    :param handoff: set while its memory is being moved elsewhere
-    :param stopped: whether its target was told to stop it for a move
-    :param doubtful: whether the order to stop may not have come
-    :param moved: whether it has gone on at another target
-    :param ended: whether nothing is relayed any more
-    :param lost: set when its target has broken off
-    :param broken: whether its target has started again and lost it
-    :param limit: bounds what is being waited for from its target
+    :param handoff: result of the migration in progress, if any
+    :param stopped: whether its target was told to stop it for a migration
+    :param stop_uncertain: whether the order to stop may not have arrived
+    :param moved: whether it has been resumed at another target
+    :param ended: whether its relaying has ended
+    :param lost: set when its target has ended the stream
+    :param target_restarted: whether its target no longer runs it, for example
+        after a restart
+    :param wait_timeout: timeout of the current wait for its target
     """
 
     plan: Plan
@@ -69,17 +70,17 @@
 
     @property
     def request(self) -> CallerRequest:
-        """The caller's."""
+        """The request of the caller."""
         return self.plan.request
 
     @property
     def service(self) -> Service:
-        """Whose targets may run it."""
+        """The service whose targets may run it."""
         return self.plan.service
 
     @property
     def held_tokens(self) -> int:
-        """Memory that it takes now, in tokens."""
+        """Current size of its KV cache, in tokens."""
         prompt = self.request.prompt
         engine = self.service.engine
         if prompt is None or engine is None:
@@ -87,7 +88,7 @@
         return prompt.tokens + self.last_event_number * engine.event_tokens
 
     def estimate_copy_seconds(self) -> float:
-        """Return how long its memory takes to another availability zone."""
+        """Return the seconds to copy its KV cache to another zone."""
         engine = self.service.engine
         if engine is None:
             return 0.0
@@ -97,9 +98,9 @@
         )
 
     async def wait_for_loss(self, seconds: float) -> None:
-        """Return after a time, or at once when its target breaks off.
+        """Wait until its target has ended the stream or a time is over.
 
-        :param seconds: at most
+        :param seconds: longest wait, in seconds
         """
         try:
             async with asyncio.timeout(seconds):
@@ -111,10 +112,10 @@
     async def limit_wait(
         self, seconds: float | None
     ) -> collections.abc.AsyncIterator[None]:
-        """Bound a wait for its target, which :meth:`break_off` ends too.
+        """Limit a wait for its target, which :meth:`note_restart` ends too.
 
-        :param seconds: at most; ``None`` for no other bound
-        :raises TimeoutError: when it is over or broken off
+        :param seconds: timeout in seconds; ``None`` for no timeout
+        :raises TimeoutError: after the timeout, or after a restart
         """
         if self.target_restarted:
             raise TimeoutError
@@ -125,10 +126,10 @@
             self.wait_timeout = None
 
     def note_restart(self) -> None:
-        """Note that its target has started again and knows nothing of it.
+        """End the waits for its target, which no longer runs it.
 
-        Behind a cut the connection to the earlier life stays open and says
-        nothing more; its caller would wait until it leaves by itself.
+        After a network partition the connection to the previous incarnation
+        may stay open and silent; the caller would wait until its deadline.
         """
         self.target_restarted = True
         self.lost.set()
@@ -137,15 +138,15 @@
             limit.reschedule(asyncio.get_running_loop().time())
 
     def resume_at(self, target: Target, now: float) -> None:
-        """Note that it goes on at another target.
+        """Record that it has been resumed at another target.
 
-        :param target: that has answered
-        :param now: monotonic seconds
+        :param target: the target that has answered
+        :param now: the current time, in monotonic seconds
         """
         self.target = target
         self.sent_at = self.heard_at = now
         self.moved = True
-        # its memory comes with it
+        # its KV cache is copied, so nothing is prefilled
         self.prefill_tokens = 0
         self.first_event_at = None
         self.handoff = None
@@ -155,5 +156,5 @@
 
 
 def to_milliseconds(seconds: float) -> int:
-    """Return seconds as whole milliseconds, as nodes tell each other."""
+    """Convert seconds to whole milliseconds, the unit of node messages."""
     return round(1000 * seconds)
--- a/packages/gateway/src/chivepier/gateway/serving/relay.py
+++ b/packages/gateway/src/chivepier/gateway/serving/relay.py
@@ -1,4 +1,4 @@
-"""Passing a stream on, over the targets that it runs at."""
+"""Relays a stream to its caller across the targets that it runs on."""
 
 import asyncio
 
@@ -22,29 +22,30 @@
 from chivepier.types import Ran
 from chivepier.types import RequestError
 
-# Seconds to wait for the outcome of a move once its source has ended the
+# Seconds to wait for the result of a migration after the source has ended the
 # stream.
 HANDOFF_WAIT_SECONDS = 4.5
-# Seconds for the next target to answer. It admits a generation that goes on
-# before all others; its head comes with the first event.
+# Seconds for the next target to answer. It admits a resumed generation before
+# all others, and sends the head with the first event.
 RESUME_ANSWER_SECONDS = 2.0
-# Seconds without a byte after which a target counts as dark, before its caller
-# leaves.
+# Seconds without a byte after which a target counts as unreachable; callers
+# wait longer than this.
 STALL_SECONDS = 1.5
-# Urgency at the next target: one that was moved is the newest there, and the
-# newest is preempted first, though it has the most to lose.
+# Urgency at the next target, ahead of new generations: targets preempt the
+# newest first, and a migrated generation is the newest though it has the most
+# work to lose.
 MOVED_URGENCY = 4
-# How often one stream goes on elsewhere; each takes a target's end.
+# Limit of targets per stream. Each handoff means that a target left or failed.
 MAX_HANDOFFS = 20
 
 
 class Relay:
-    """One caller's stream: one series of events, whatever happens behind.
+    """Sends one caller an unbroken series of events from several targets.
 
-    :param dispatcher: sends to targets
-    :param plan: the request's
-    :param caller: its connection
-    :param metrics: measures its pace
+    :param dispatcher: sends requests to targets
+    :param plan: the plan of the request
+    :param caller: the connection of the caller
+    :param metrics: records the time to the first event and the longest gap
     """
 
     def __init__(
@@ -65,11 +66,11 @@
         )
 
     async def run(self, started: StartedAnswer) -> None:
-        """Relay until the stream is whole.
+        """Relay events until the stream is complete or can't be resumed.
 
-        :param sent: the answer of the first target
-        :raises RequestError: when nothing was sent to the caller yet and
-            nothing can be
+        :param started: the answer of the first target
+        :raises RequestError: when the stream failed before anything was sent
+            to the caller
         """
         head, run = started.answer, started.run
         try:
@@ -110,7 +111,7 @@
         if run.stopped:
             return
         dispatcher, plan = self._dispatcher, self._plan
-        error = BrokenAnswerError("the stream broke off")
+        error = BrokenAnswerError("the stream ended before it was complete")
         dispatcher.note_lost(
             plan, run.target, run.sent_at, run.first_event_at, error
         )
@@ -127,8 +128,8 @@
         )
 
     async def _is_complete(self, run: LiveRun, started: StartedAnswer) -> bool:
-        # a stream that was stopped for a move has no end, but where its
-        # target frames it by closing the connection it looks whole
+        # a stream that was stopped for a migration is incomplete, but looks
+        # complete if its body is delimited by closing the connection
         if not run.stopped:
             return True
         run.lost.set()
@@ -149,7 +150,7 @@
     async def _relay_target(
         self, head: TargetAnswer, started: StartedAnswer, run: LiveRun
     ) -> StreamEnd:
-        """Pass events on until the target ends or breaks off."""
+        """Relay events of one target until its stream ends or breaks."""
         first, started.body = started.body, b""
         try:
             await self._forward_events(head, run, first)
@@ -159,19 +160,19 @@
             return StreamEnd.TRUNCATED
         rest = self._splitter.take_remainder()
         if rest:
-            # an answer that is whole by its framing is the target's own,
-            # also where its last event has no end
+            # the framing shows that the answer is complete, so a last event
+            # without a terminator is passed on as the target sent it
             await self._write(head, rest)
         return StreamEnd.COMPLETE
 
     async def _read_chunk(self, run: LiveRun, started: StartedAnswer) -> bytes:
         seconds = None
         if self._plan.repeatable:
-            # a target that is dark says nothing; where the generation can
-            # go on elsewhere, its caller need not wait for the deadline
+            # an unreachable target does not close the connection; a generation
+            # that can be run elsewhere need not wait for its deadline
             seconds = STALL_SECONDS
-        # only reads are bounded: an event that was counted but not yet
-        # written would be lost if its write were ended
+        # only reads have a timeout: cancelling a write would lose an event
+        # whose number has already been recorded
         async with run.limit_wait(seconds):
             data = await started.answer.read()
         self._dispatcher.runs.note_first_event(run)
@@ -204,7 +205,7 @@
         fresh = []
         for event, number in self._splitter.feed(data):
             if number is not None:
-                # the next target may repeat what the last one had made
+                # the next target may repeat events of the previous one
                 if number <= run.last_event_number:
                     continue
                 run.last_event_number = number
@@ -228,9 +229,9 @@
     async def _resume(
         self, run: LiveRun, started: StartedAnswer
     ) -> StartedAnswer | None:
-        """Send the request to where its memory is, or anew if allowed."""
+        """Resume from a copy of the KV cache, or rerun if that is allowed."""
         run.lost.set()
-        # a run without its stream may still go on there for a moment
+        # the run may continue there for a moment after its stream is closed
         started.answer.close()
         for handoff in await self._find_handoffs(run):
             if self._dispatcher.guard.is_held(self._plan):
@@ -254,9 +255,9 @@
         return found
 
     def _redirect_to_source(self, run: LiveRun, handoff: Handoff) -> Handoff:
-        """Go on at the source where the copy's target takes nothing now.
+        """Resume at the source if the destination can't be used now.
 
-        It was stopped there for the move, and keeps the memory.
+        The source stopped the run for the migration and keeps its KV cache.
         """
         if self._dispatcher.gate.may_resume(handoff.target):
             return handoff
@@ -294,7 +295,7 @@
             once=not plan.repeatable,
         )
         seconds = min(options.seconds, RESUME_ANSWER_SECONDS)
-        # what carries no memory there is new work
+        # without a KV cache at the target, it counts as a new generation
         purpose = CallPurpose.RESUME if handoff.origin else CallPurpose.START
         async with asyncio.timeout(seconds):
             answer = await dispatcher.calls.send(
@@ -329,7 +330,7 @@
         return StartedAnswer(run.target, answer, b"", run)
 
     def _break_off(self, run: LiveRun) -> None:
-        text = "the target broke off, and the stream can't go on"
+        text = "the target failed, and the stream can't be resumed"
         self._dispatcher.log.warn(
             "stream_cut",
             id=run.request.id,
--- a/packages/gateway/src/chivepier/gateway/serving/runtracker.py
+++ b/packages/gateway/src/chivepier/gateway/serving/runtracker.py
@@ -1,4 +1,4 @@
-"""Counting the generations that are relayed."""
+"""Tracks the generations that this entry relays."""
 
 from chivepier.gateway.serving.liverun import LiveRun
 from chivepier.gateway.serving.mover import Mover
@@ -13,12 +13,12 @@
 
 
 class RunTracker:
-    """Keeps the loads that entries share, and tells the mover what runs.
+    """Updates the load of targets and registers generations for migration.
 
-    :param board: loads by target
-    :param mover: moves generations off targets that leave
-    :param pace: learns how fast prompts are read
-    :param clock: monotonic time
+    :param board: load of each target
+    :param mover: migrates generations off targets that leave
+    :param pace: estimator of the prefill time
+    :param clock: monotonic clock
     """
 
     def __init__(
@@ -35,11 +35,11 @@
         self._clock = clock
 
     def start(self, plan: Plan, target: Target) -> LiveRun:
-        """Begin to watch a request that is sent to a target.
+        """Start tracking a request that is sent to a target.
 
-        :param plan: the request's
-        :param target: where it is sent
-        :returns: the run, which :meth:`unwatch` ends
+        :param plan: the plan of the request
+        :param target: the target that it is sent to
+        :returns: the run, to be passed to :meth:`untrack`
         """
         demand = plan.demand or Demand(prompt=0, output=0)
         now = self._clock.monotonic()
@@ -58,27 +58,27 @@
         return run
 
     def track(self, run: LiveRun) -> None:
-        """Count a generation at its target and watch that."""
+        """Add a generation to the load of its target and to the mover."""
         self._count(run, 1)
         self._mover.add(run)
 
     def untrack(self, run: LiveRun) -> None:
-        """Take a generation off its target."""
+        """Remove a generation from the load of its target and the mover."""
         self._count(run, -1)
         self._mover.remove(run)
 
     def abandon(self, run: LiveRun) -> None:
-        """Take off a generation that goes on nowhere.
+        """Stop tracking a generation that is not resumed, and mark it ended.
 
-        A move of it would else ask its source until the process ends: one
-        that broke off before its first event looks as if it waited still.
+        Otherwise a migration would ask its source until the process ends: a
+        run that failed before its first event looks like one that waits.
         """
         self.untrack(run)
         run.ended = True
         run.lost.set()
 
     def note_first_event(self, run: LiveRun) -> None:
-        """Note that its first event came from this target."""
+        """Record the time of the first event and end the prefill load."""
         if run.first_event_at is None:
             run.first_event_at = self._clock.monotonic()
             if run.prefill_tokens:
@@ -91,9 +91,10 @@
             )
 
     def estimate_seconds(self, plan: Plan) -> float:
-        """Return how long a generation lasts at most, in seconds.
+        """Return the longest time that a generation takes, in seconds.
 
-        :param plan: the request's; what asks for no generation takes no time
+        :param plan: the plan of the request; 0 for other requests than
+            generations
         """
         prompt = plan.request.prompt
         if prompt is None:
@@ -103,7 +104,10 @@
         return reading + self._step_pace.estimate(service, prompt.most_output)
 
     def note_complete(self, run: LiveRun) -> None:
-        """Learn from a generation that came to its end at one target."""
+        """Update the estimate of the decoding speed from a complete run.
+
+        Runs that were resumed at another target are left out.
+        """
         engine = run.service.engine
         if (
             engine is not None
@@ -115,7 +119,7 @@
             self._step_pace.note(run.service.name, tokens, seconds)
 
     def note_growth(self, run: LiveRun) -> None:
-        """Count what a generation takes, once it has grown by some."""
+        """Report the growth of a generation's KV cache in larger steps."""
         run.heard_at = self._clock.monotonic()
         if run.held_tokens + SOON_TOKENS // 2 <= run.counted_tokens:
             return
--- a/packages/gateway/src/chivepier/gateway/serving/sendgate.py
+++ b/packages/gateway/src/chivepier/gateway/serving/sendgate.py
@@ -1,4 +1,4 @@
-"""What must hold before anything is sent to a target."""
+"""Decides whether a request may be sent to a target."""
 
 import collections.abc
 
@@ -16,27 +16,28 @@
 from chivepier.gateway.zones import Zones
 from chivepier.types import Clock
 
-# Seconds after an evacuation in which a generation may still go on at a copy
-# there: stopped at its source, it would be lost.
+# Seconds after a zone is evacuated in which a generation may still be resumed
+# from a copy there: already stopped at its source, it would be lost otherwise.
 RESUME_GRACE_SECONDS = 1.0
-# Seconds for which a generation that goes on elsewhere waits for leave.
+# Seconds for which a generation to be resumed waits for a permit, and the
+# interval at which it asks.
 RESUME_WAIT_SECONDS = 1.0
 RESUME_POLL_SECONDS = 0.05
-# Class of a generation that goes on elsewhere, ahead of all that are new: with
-# it all that was read for it would be lost.
+# Urgency class of a generation to be resumed, ahead of all new ones: if it
+# were refused, its prefill would be lost.
 RESUME_URGENCY = -1
 
 
 class SendGate:
-    """Knows where nothing new may go, and what targets may be sent.
-
-    :param zones: which zones are evacuated
-    :param table: which targets leave
-    :param permits: to send to targets that take few
-    :param rests: which targets get nothing for a while
-    :param freshness: whether orders are known recently enough
-    :param clock: monotonic time
-    :param metrics: counts what is held back at the last moment
+    """Checks evacuations, leaving targets, rests and permits before sends.
+
+    :param zones: evacuated availability zones
+    :param table: the known targets and whether they leave
+    :param permits: permits for targets with a rate limit
+    :param rests: targets that asked to be sent nothing for a while
+    :param freshness: whether the known evacuation orders are recent
+    :param clock: monotonic clock
+    :param metrics: counts sends that are refused by :meth:`check`
     """
 
     def __init__(
@@ -58,46 +59,46 @@
         self._clock = clock
 
     async def wait_fresh(self) -> None:
-        """Return once what is known of orders is recent, or can't be."""
+        """Wait until the known evacuation orders are recent, or can't be."""
         await self._freshness.wait()
 
     async def take_permit(
         self, service: Service, target: Target, claim: Claim
     ) -> Permit | None:
-        """Return leave to send one request; ``None`` without it."""
+        """Return a permit to send one request, ``None`` if there is none."""
         return await self._permits.take(service, target, claim)
 
     def find_rate(self, target: Target) -> float | None:
-        """Return the rate that a target in need takes, if it names one."""
+        """Return the rate limit of a target in requests/s, if it has one."""
         return self._permits.find_rate(target)
 
     @property
     def has_limits(self) -> bool:
-        """Whether any target is in need."""
+        """Whether any target has a rate limit."""
         return self._permits.knows_limits
 
     def find_rates(
         self, targets: collections.abc.Iterable[Target]
     ) -> dict[str, float]:
-        """Return the rates of those that are in need, by name."""
+        """Return the rate limits of those targets that have one, by name."""
         return self._permits.find_rates(targets)
 
     def find_pause(self, target: Target, claim: Claim) -> float | None:
-        """Return the seconds until a target in need is to be asked for."""
+        """Return the seconds until a rate-limited target may be asked for."""
         return self._permits.find_pause(target, claim)
 
     def check(
         self, target: Target, purpose: CallPurpose, permit: Permit
     ) -> None:
-        """Look once more, right before anything is sent.
+        """Check a send right before its first byte.
 
-        What waited for room, for a reservation or for a connection may
-        meanwhile be meant for a zone that is evacuated.
+        The zone may have been evacuated while the request waited for
+        capacity, for a reservation or for a connection.
 
-        :param target: where it is to go
-        :param errand: what for
-        :param permit: that was taken for it
-        :raises NotPermittedError: when it must not be sent there now
+        :param target: the target to be called
+        :param purpose: why it is called
+        :param permit: the permit that was taken for the call
+        :raises NotPermittedError: when the target must not be called now
         """
         reason = self._find_refusal_reason(target, purpose, permit)
         if reason is not None:
@@ -127,21 +128,21 @@
         return self._rests.find_pause(target.instance, target.born, now)
 
     def note_sent(self, target: Target) -> None:
-        """Note that something is being sent to a target."""
+        """Record that a target is being called."""
         now = self._clock.monotonic()
         self._rests.note_sent(target.instance, target.born, now)
 
     def may_probe(self, target: Target) -> bool:
-        """Tell whether it may be looked whether a target lives."""
+        """Return whether a target may be probed for liveness."""
         now = self._clock.monotonic()
         if self._zones.is_evacuated(target.zone, now):
             return False
         return self._find_rest(target, now) is None
 
     def may_resume(self, target: Target) -> bool:
-        """Tell whether a generation may go on at a copy at a target.
+        """Return whether a generation may be resumed from a copy at a target.
 
-        It waits for a moment where the target is at rest for no longer.
+        A rest that ends within the wait for a permit does not prevent it.
         """
         now = self._clock.monotonic()
         rest = self._find_rest(target, now)
@@ -160,12 +161,12 @@
     async def acquire_resume_permit(
         self, service: Service, target: Target, team: str
     ) -> None:
-        """Wait for leave to send a generation that goes on at a target.
+        """Wait for a permit to resume a generation at a target.
 
-        :param service: the target's
-        :param target: where it goes on
-        :param team: whose it is
-        :raises NotPermittedError: without it
+        :param service: the service of the target
+        :param target: the target to resume at
+        :param team: the team of the request
+        :raises NotPermittedError: when no permit was granted in time
         """
         await self.wait_fresh()
         end = self._clock.monotonic() + RESUME_WAIT_SECONDS
@@ -180,4 +181,4 @@
             if left <= 0.0:
                 break
             await self._clock.sleep(RESUME_POLL_SECONDS)
-        raise NotPermittedError("no leave to go on there")
+        raise NotPermittedError("no permit to resume at this target")
--- a/packages/gateway/src/chivepier/gateway/serving/sendoptions.py
+++ b/packages/gateway/src/chivepier/gateway/serving/sendoptions.py
@@ -1,4 +1,4 @@
-"""How one request is sent to one target."""
+"""Options of sending a request to a target."""
 
 import attrs
 
@@ -7,15 +7,15 @@
 
 @attrs.frozen(kw_only=True)
 class SendOptions:
-    """What goes with the caller's own request.
+    """What a target is told in addition to the request of the caller.
 
-    :param seconds: for which the target may work on it
-    :param team: whose request it is, if teams are told apart
-    :param urgency: 0 is the most urgent
-    :param origin: memory to go on from
-    :param after_event: the last event that the caller has
-    :param reservation: of room at the target
-    :param once: whether it must not be sent again when its answer is lost
+    :param seconds: time that the target has for it, in seconds
+    :param team: the team of the request, if teams are distinguished
+    :param urgency: urgency class; 0 is the most urgent
+    :param origin: the KV cache to resume from
+    :param after_event: number of the last event that the caller has
+    :param reservation: identifier of a reservation at the target
+    :param once: whether it must not be sent again if its answer is lost
     """
 
     seconds: float
--- a/packages/gateway/src/chivepier/gateway/serving/startedanswer.py
+++ b/packages/gateway/src/chivepier/gateway/serving/startedanswer.py
@@ -1,4 +1,4 @@
-"""An answer that has begun."""
+"""An answer whose head has arrived."""
 
 import attrs
 
@@ -9,12 +9,12 @@
 
 @attrs.define
 class StartedAnswer:
-    """What a target answers, and what is read of it so far.
+    """The answer of a target and the part of its body read so far.
 
-    :param target: that answers
-    :param answer: its head
-    :param body: the whole body, or its first bytes where it is a stream
-    :param run: set while it is a stream
+    :param target: the target that answers
+    :param answer: the head, and access to the rest of the body
+    :param body: the whole body, or the first bytes of a stream
+    :param run: the tracked run of a stream, ``None`` for other answers
     """
 
     target: Target
--- a/packages/gateway/src/chivepier/gateway/serving/streamend.py
+++ b/packages/gateway/src/chivepier/gateway/serving/streamend.py
@@ -1,10 +1,10 @@
-"""How one target's part of a stream ended."""
+"""How the part of a stream that one target sent ended."""
 
 import enum
 
 
 class StreamEnd(enum.Enum):
-    """Whether the target ended its answer or broke it off."""
+    """Whether the answer of the target was complete or truncated."""
 
     COMPLETE = "whole"
     TRUNCATED = "cut"
--- a/packages/gateway/src/chivepier/gateway/serving/streamtiming.py
+++ b/packages/gateway/src/chivepier/gateway/serving/streamtiming.py
@@ -1,13 +1,15 @@
-"""How steadily a stream reaches its caller."""
+"""Timing of the events that reach a caller."""
 
 import collections.abc
 
 
 class StreamTiming:
-    """Measures the time to the first event and the longest pause after it.
+    """Measures the time to the first event and the longest gap after it.
 
-    :param arrived: when the request came, in monotonic seconds
-    :param read_time: returns monotonic seconds
+    ``max_gap_index`` counts the writes before the longest gap.
+
+    :param arrived: when the request arrived, in monotonic seconds
+    :param read_time: returns the current time in monotonic seconds
     """
 
     def __init__(
@@ -22,7 +24,7 @@
         self.max_gap_index = 0
 
     def record_write(self) -> None:
-        """Note that events are passed on now."""
+        """Record that events are written to the caller now."""
         now = self._read_time()
         if self._last is None:
             self.first_seconds = now - self._arrived
--- a/packages/gateway/src/chivepier/gateway/serving/targetanswer.py
+++ b/packages/gateway/src/chivepier/gateway/serving/targetanswer.py
@@ -1,4 +1,4 @@
-"""A target's answer, as an interface."""
+"""Interface of an answer of a target."""
 
 import typing
 
@@ -6,10 +6,10 @@
 
 
 class TargetAnswer(typing.Protocol):
-    """The head of an answer, and its body as it comes.
+    """The head of an answer and its body, read in chunks.
 
-    ``length`` is ``None`` where the target did not tell; ``framed`` tells
-    whether a body that breaks off differs from one that ends.
+    ``length`` is ``None`` if the target did not send it. ``framed`` tells
+    whether a truncated body can be told from a complete one.
     """
 
     status: int
@@ -19,15 +19,15 @@
     facts: AnswerFacts
 
     async def read(self) -> bytes:
-        """Return the next bytes of the body, or nothing at its end.
+        """Return the next bytes of the body, empty at its end.
 
-        A read that is cancelled loses nothing.
+        Cancelling a read loses no data.
 
-        :raises BrokenAnswerError: when the body is not whole
+        :raises BrokenAnswerError: when the body is incomplete
         """
 
     def close(self) -> None:
-        """End the connection, which ends the run where it still goes on."""
+        """Close the connection, which cancels a run that has not ended."""
 
     def release(self) -> None:
-        """Keep the connection for other requests; the body is read."""
+        """Return the connection to the pool once the body is read."""
--- a/packages/gateway/src/chivepier/gateway/serving/targetcalls.py
+++ b/packages/gateway/src/chivepier/gateway/serving/targetcalls.py
@@ -1,4 +1,4 @@
-"""Every way to reach a target."""
+"""Calls to targets, checked by the send gate."""
 
 from chivepier.gateway.permits import Permit
 from chivepier.gateway.serving.callerrequest import CallerRequest
@@ -17,11 +17,11 @@
 
 
 class TargetCalls:
-    """Asks before each call whether it may go, and hears each answer.
+    """Checks each call before it is made and records the answer's head.
 
-    :param client: the protocol towards targets
-    :param gate: knows what may be sent where
-    :param remarks: notes what answers say of their targets
+    :param client: client for the protocol of targets
+    :param gate: decides what may be sent to which target
+    :param recorder: records what answer heads report
     """
 
     def __init__(
@@ -41,9 +41,10 @@
     ) -> TargetAnswer:
         """Send a request and return the head of its answer.
 
-        :raises NotPermittedError: when nothing may be sent there now
-        :raises NotSentError: when it never left this process
-        :raises ConnectionLostError: when no answer came
+        :raises NotPermittedError: when the target must not be called now
+        :raises NotSentError: when the request was not sent
+        :raises ConnectionLostError: when the connection broke before an
+            answer
         """
         exchange = self._open_exchange(target, purpose, permit)
         return await self._client.send(target, request, options, exchange)
@@ -51,12 +52,12 @@
     async def reserve(
         self, target: Target, tokens: int, seconds: float
     ) -> str | None:
-        """Reserve a slot and memory before a request is sent.
+        """Reserve a slot and KV cache before a request is sent.
 
-        :param tokens: of memory
-        :param seconds: for which it is kept unused
-        :returns: the reservation's name; ``None`` when there is no room
-        :raises NotPermittedError: when nothing may be sent there now
+        :param tokens: size of the KV cache in tokens
+        :param seconds: how long the reservation is kept unused
+        :returns: identifier of the reservation; ``None`` without capacity
+        :raises NotPermittedError: when the target must not be called now
         :raises NotSentError: when the target can't be reached
         """
         exchange = self._open_exchange(target, CallPurpose.START)
@@ -70,10 +71,10 @@
         last: bool,
         seconds: float,
     ) -> Moved:
-        """Copy a live generation's memory to another target.
+        """Copy the KV cache of a running generation to another target.
 
-        :param last: stop the run first
-        :param seconds: to wait for the copy
+        :param last: whether to stop the run first
+        :param seconds: how long to wait for the copy
         """
         try:
             exchange = self._open_exchange(source, CallPurpose.CONTROL)
@@ -84,23 +85,23 @@
             return Moved(MoveOutcome.HELD_BACK)
 
     async def drop(self, target: Target, handle: str) -> bool:
-        """Free a copy that no generation goes on from.
+        """Free a copy that no generation is resumed from.
 
-        :param target: that keeps it
-        :param handle: the copy's name
-        :returns: whether the target says that it is free
+        :param target: the target that holds the copy
+        :param handle: identifier of the copy
+        :returns: whether the target confirmed that the copy is freed
         """
         try:
             exchange = self._open_exchange(target, CallPurpose.CONTROL)
             return await self._client.drop(target, handle, exchange)
         except NotPermittedError:
-            # the target frees it by itself some seconds later
+            # the target frees an unused copy by itself after some seconds
             return False
 
     async def probe(self, target: Target) -> Liveness:
-        """Look whether anything listens at a target's address.
+        """Check whether anything listens at the address of a target.
 
-        :param target: that a request was lost at
+        :param target: the target at which a request was lost
         """
         if not self._gate.may_probe(target):
             return Liveness.UNKNOWN
@@ -109,7 +110,7 @@
     def _open_exchange(
         self, target: Target, purpose: CallPurpose, permit: Permit = Permit()
     ) -> TargetExchange:
-        # without this a connection would be made to a target for nothing
+        # checked here already, so that no connection is made in vain
         self._gate.check(target, purpose, permit)
         gate, recorder = self._gate, self._recorder
         return TargetExchange(target, purpose, permit, gate, recorder)
--- a/packages/gateway/src/chivepier/gateway/serving/targetclient.py
+++ b/packages/gateway/src/chivepier/gateway/serving/targetclient.py
@@ -1,4 +1,4 @@
-"""Talking to targets, as an interface."""
+"""Interface of the client for targets."""
 
 import typing
 
@@ -12,10 +12,11 @@
 
 
 class TargetClient(typing.Protocol):
-    """What serving needs of the protocol towards targets.
+    """The calls to targets that serving needs.
 
-    A contact is begun right before the first byte of a call, once its
-    connection stands, and hears the head of its answer.
+    An implementation calls :meth:`Exchange.begin` once the connection is
+    established, right before the first byte, and
+    :meth:`Exchange.record_head` with the head of the answer.
     """
 
     async def send(
@@ -27,20 +28,21 @@
     ) -> TargetAnswer:
         """Send a request and return the head of its answer.
 
-        :raises NotPermittedError: when the contact must not begin
-        :raises NotSentError: when it never left this process
-        :raises ConnectionLostError: when no answer came
+        :raises NotPermittedError: when the exchange must not begin
+        :raises NotSentError: when the request was not sent
+        :raises ConnectionLostError: when the connection broke before an
+            answer
         """
 
     async def reserve(
         self, target: Target, tokens: int, seconds: float, exchange: Exchange
     ) -> str | None:
-        """Reserve a slot and memory before a request is sent.
+        """Reserve a slot and KV cache before a request is sent.
 
-        :param tokens: of memory
-        :param seconds: for which it is kept unused
-        :returns: the reservation's name; ``None`` when there is no room
-        :raises NotPermittedError: when the contact must not begin
+        :param tokens: size of the KV cache in tokens
+        :param seconds: how long the reservation is kept unused
+        :returns: identifier of the reservation; ``None`` without capacity
+        :raises NotPermittedError: when the exchange must not begin
         :raises NotSentError: when the target can't be reached
         """
 
@@ -53,32 +55,32 @@
         seconds: float,
         exchange: Exchange,
     ) -> Moved:
-        """Copy a live generation's memory to another target.
+        """Copy the KV cache of a running generation to another target.
 
-        :param last: stop the run first
-        :param seconds: to wait for the copy
-        :raises NotPermittedError: when the contact must not begin
+        :param last: whether to stop the run first
+        :param seconds: how long to wait for the copy
+        :raises NotPermittedError: when the exchange must not begin
         """
 
     def hang_up(self, target: Target) -> None:
-        """End the connections to a target that are kept for later requests.
+        """Close the pooled connections to a target.
 
-        :param target: that has started again
+        :param target: the target, which has restarted
         """
 
     async def probe(self, target: Target) -> Liveness:
-        """Look whether anything listens at a target's address.
+        """Check whether anything listens at the address of a target.
 
-        :param target: that a request was lost at
+        :param target: the target at which a request was lost
         """
 
     async def drop(
         self, target: Target, handle: str, exchange: Exchange
     ) -> bool:
-        """Free a copy that no generation goes on from.
+        """Free a copy that no generation is resumed from.
 
-        :param target: that keeps it
-        :param handle: the copy's name
-        :returns: whether the target says that it is free
-        :raises NotPermittedError: when the contact must not begin
+        :param target: the target that holds the copy
+        :param handle: identifier of the copy
+        :returns: whether the target confirmed that the copy is freed
+        :raises NotPermittedError: when the exchange must not begin
         """
--- a/packages/gateway/src/chivepier/gateway/serving/targetexchange.py
+++ b/packages/gateway/src/chivepier/gateway/serving/targetexchange.py
@@ -1,4 +1,4 @@
-"""One exchange with a target."""
+"""One call to a target: the request and the head of its answer."""
 
 from chivepier.gateway.limits import LimitWord
 from chivepier.gateway.permits import Permit
@@ -10,13 +10,13 @@
 
 
 class TargetExchange:
-    """Looks before the first byte, and notes what the answer's head says.
+    """Checks a call before its first byte and records the answer's head.
 
-    :param target: that is contacted
-    :param errand: what for
-    :param permit: to send there
-    :param gate: knows what may be sent where
-    :param remarks: notes what heads say
+    :param target: the target that is called
+    :param purpose: why it is called
+    :param permit: the permit to call it
+    :param gate: decides what may be sent to which target
+    :param recorder: records what answer heads report
     """
 
     def __init__(
@@ -35,15 +35,15 @@
         self._known_limit: LimitWord | None = None
 
     def begin(self) -> None:
-        """Look once more, with the connection standing.
+        """Check again, now that the connection is established.
 
-        :raises NotPermittedError: when nothing must be sent now
+        :raises NotPermittedError: when the target must not be called now
         """
         self._gate.check(self._target, self._purpose, self._permit)
         self._gate.note_sent(self._target)
         self._known_limit = self._recorder.find_limit(self._target)
 
     def record_head(self, facts: AnswerFacts) -> None:
-        """Note what the answer's head says of the target."""
+        """Record what the head of the answer reports of the target."""
         if not facts.mismatched:
             self._recorder.record(self._target, facts, self._known_limit)
