--- a/packages/gateway/src/chivepier/gateway/serving/liverun.py
+++ b/packages/gateway/src/chivepier/gateway/serving/liverun.py
@@ -44,8 +44,7 @@
     :param moved: whether it has been resumed at another target
     :param ended: whether its relaying has ended
     :param lost: set when its target has ended the stream
-    :param target_restarted: whether its target no longer runs it, for example
-        after a restart
+    :param aborted: whether :meth:`abort` was called at its current target
     :param wait_timeout: timeout of the current wait for its target
     """
 
@@ -65,7 +64,7 @@
     moved: bool = False
     ended: bool = False
     lost: asyncio.Event = attrs.field(factory=asyncio.Event)
-    target_restarted: bool = False
+    aborted: bool = False
     wait_timeout: asyncio.Timeout | None = None
 
     @property
@@ -112,12 +111,12 @@
     async def limit_wait(
         self, seconds: float | None
     ) -> collections.abc.AsyncIterator[None]:
-        """Limit a wait for its target, which :meth:`note_restart` ends too.
+        """Limit a wait for its target, which :meth:`abort` ends too.
 
         :param seconds: timeout in seconds; ``None`` for no timeout
-        :raises TimeoutError: after the timeout, or after a restart
+        :raises TimeoutError: after the timeout, or when it is aborted
         """
-        if self.target_restarted:
+        if self.aborted:
             raise TimeoutError
         try:
             async with asyncio.timeout(seconds) as self.wait_timeout:
@@ -125,17 +124,18 @@
         finally:
             self.wait_timeout = None
 
-    def note_restart(self) -> None:
-        """End the waits for its target, which no longer runs it.
+    def abort(self) -> None:
+        """End the current wait for its target, and all later ones at once.
 
-        After a network partition the connection to the previous incarnation
-        may stay open and silent; the caller would wait until its deadline.
+        Used when the target has restarted or gone, among others. After a
+        network partition the connection to the previous incarnation may stay
+        open and silent; the caller would wait until its deadline.
         """
-        self.target_restarted = True
+        self.aborted = True
         self.lost.set()
-        limit = self.wait_timeout
-        if limit is not None and not limit.expired():
-            limit.reschedule(asyncio.get_running_loop().time())
+        timeout = self.wait_timeout
+        if timeout is not None and not timeout.expired():
+            timeout.reschedule(asyncio.get_running_loop().time())
 
     def resume_at(self, target: Target, now: float) -> None:
         """Record that it has been resumed at another target.
@@ -151,7 +151,7 @@
         self.first_event_at = None
         self.handoff = None
         self.stopped = self.stop_uncertain = False
-        self.target_restarted = False
+        self.aborted = False
         self.lost.clear()
 
 
--- a/packages/gateway/src/chivepier/gateway/serving/mover.py
+++ b/packages/gateway/src/chivepier/gateway/serving/mover.py
@@ -117,7 +117,7 @@
         :param target: as it was known before
         """
         for run in list(self._runs.get(target.instance, ())):
-            run.note_restart()
+            run.abort()
 
     async def watch_silence(self) -> None:
         """Look for targets that have gone, for as long as the node lives."""
@@ -141,7 +141,7 @@
                 continue
             self._log.warn("target_gone", target=name, runs=len(stalled))
             for run in stalled:
-                run.note_restart()
+                run.abort()
 
     async def _has_gone(self, stalled: set[LiveRun]) -> bool:
         """Tell whether the target of stalled generations has ended."""
@@ -165,7 +165,7 @@
         """
         for run in [run for runs in self._runs.values() for run in runs]:
             if run.first_event_at is None and run.plan.digest == digest:
-                run.note_restart()
+                run.abort()
 
     def start(self, run: LiveRun) -> None:
         """Begin to move one generation, unless that is under way."""
