--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_crashguard.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_crashguard.py
@@ -1,4 +1,4 @@
-"""Tests of keeping requests from targets that would end under them."""
+"""Tests of blocking requests that crash targets."""
 
 import asyncio
 
@@ -21,8 +21,8 @@
 RESERVING = attrs.evolve(ENGINE, reserve_seconds=2.0)
 
 
-def end_under_it(parts, *names: str) -> None:
-    """Let these targets end when they are sent anything."""
+def crash_on_request(parts, *names: str) -> None:
+    """Make these targets crash when they receive a request."""
     parts.engines.lose |= set(names)
     parts.engines.ended |= set(names)
 
@@ -31,27 +31,27 @@
     return len(parts.engines.orders)
 
 
-def count_ends(parts) -> int:
-    """Count the targets that are known to have ended."""
+def count_crashes(parts) -> int:
+    """Count the crashes of targets that were logged."""
     return len(parts.read_lines("target_ended_under"))
 
 
-async def meet_ends(parts) -> None:
-    """Send a request until three targets have ended under it."""
+async def send_until_third_crash(parts) -> None:
+    """Send a request until it has crashed three targets."""
     attempts = 0
-    while count_ends(parts) < 3:
+    while count_crashes(parts) < 3:
         attempts += 1
         await fail(parts, make_request("/read/x", id=f"r{attempts}"))
-        # what is sent to one that has ended already shows nothing new
+        # let the probe end: sends to a crashed target do not count
         await asyncio.sleep(0.01)
 
 
-def test_third_end_stops_the_repeats_of_the_attempt_that_met_it():
-    # The attempt that met the third end went on to a fourth target.
+def test_third_crash_stops_the_retries_of_its_attempt():
+    # The attempt that caused the third crash was retried at a fourth target.
     async def test(parts):
-        end_under_it(parts, "w-a", "w-b", "w-c", "w-d")
+        crash_on_request(parts, "w-a", "w-b", "w-c", "w-d")
         await fail(parts, make_request("/read/x", id="r1"))
-        await wait_until(lambda: count_ends(parts) == 2)
+        await wait_until(lambda: count_crashes(parts) == 2)
         failure = await fail(parts, make_request("/read/x", id="r2"))
         assert failure.kind is ErrorKind.TARGET_FAILED
         assert failure.ran is Ran.UNKNOWN
@@ -60,10 +60,10 @@
     play(test, "a", "b", "c", "d")
 
 
-def test_request_that_ended_three_targets_is_refused_truly_and_at_once():
+def test_request_that_crashed_three_targets_is_refused_as_not_run():
     async def test(parts):
-        end_under_it(parts, "w-a", "w-b", "w-c", "w-d")
-        await meet_ends(parts)
+        crash_on_request(parts, "w-a", "w-b", "w-c", "w-d")
+        await send_until_third_crash(parts)
         sends = count_sends(parts)
         failure = await fail(parts, make_request("/read/x", id="again"))
         assert failure.kind is ErrorKind.HELD_BACK and failure.ran is Ran.NO
@@ -81,17 +81,16 @@
     [{"body": b"other"}, {"key": "k2"}, {"url": "/read/x?y"}],
     ids=["body", "team", "query"],
 )
-def test_other_requests_are_not_refused_for_it(changes):
-    # Another team sends the same body to the same path, the same team sends
-    # another one: they are answered.
+def test_other_requests_are_not_quarantined(changes):
+    # Only the same team, path, query and body are quarantined.
     async def test(parts):
         teams = (
             parts.make_team("t1", "k1"),
             parts.make_team("t2", "k2"),
         )
         parts.configure(version=2, teams=teams)
-        end_under_it(parts, "w-a", "w-b", "w-c", "w-d")
-        await meet_ends(parts)
+        crash_on_request(parts, "w-a", "w-b", "w-c", "w-d")
+        await send_until_third_crash(parts)
         parts.engines.lose.clear()
         parts.engines.failing = {f"w-{n}": 200 for n in "abcd"}
         caller = await parts.serve(make_request("/read/x", **changes))
@@ -100,9 +99,9 @@
     play(test, "a", "b", "c", "d")
 
 
-def test_targets_that_live_on_accuse_nobody():
-    # A target fails a part of what it gets and breaks the connections. The
-    # request is lost five times, but no target has ended.
+def test_lost_connections_without_a_crash_quarantine_nothing():
+    # Targets break connections without crashing. The request is lost five
+    # times, but must not be quarantined.
     async def test(parts):
         parts.engines.lose = {"w-a", "w-b", "w-c"}
         for number in range(5):
@@ -117,14 +116,14 @@
     play(test, "a", "b", "c")
 
 
-def test_body_that_is_answered_elsewhere_is_not_held_back():
-    # Many ask for the same thing while targets crash by themselves. Copies of
-    # it are lost with one target after the other, and others are answered.
+def test_request_that_is_answered_elsewhere_is_not_quarantined():
+    # Many callers send the same request while targets crash for other reasons.
+    # Some copies are lost in the crashes, while others are answered.
     async def test(parts):
         parts.engines.failing = {f"w-{name}": 200 for name in "abc"}
         caller = await parts.serve(make_request("/read/x"))
         assert caller.status == 200
-        end_under_it(parts, "w-a", "w-b", "w-c")
+        crash_on_request(parts, "w-a", "w-b", "w-c")
         while len(parts.read_lines("ending_passed_over")) < 3:
             failure = await fail(parts, make_request("/read/x"))
             assert failure.kind is ErrorKind.TARGET_FAILED
@@ -134,9 +133,9 @@
     play(test, "a", "b", "c")
 
 
-def test_stream_does_not_go_on_elsewhere_once_three_targets_have_ended():
-    # A stream that may be resumed breaks off at its third target. Sent on
-    # with the number of its last event, it would end a fourth.
+def test_stream_that_crashed_three_targets_is_not_resumed():
+    # A stream that may be rerun crashes its third target. Resumed after its
+    # last event, it would crash a fourth.
     async def test(parts):
         caller, task = parts.start(make_request("/resume/x"))
         for count in (1, 2, 3):
@@ -152,9 +151,9 @@
     play(test, "a", "b", "c", "d")
 
 
-def test_answer_that_a_crash_can_end_clears_nothing():
-    # An answer that ends with its connection cleared the request that ends
-    # targets.
+def test_answer_without_framing_does_not_clear_a_request():
+    # An answer without framing ends like a crash, so it must not clear a
+    # request that crashes targets.
     async def test(parts):
         request = make_request("/resume/x")
         for framed in (False, True):
@@ -173,9 +172,9 @@
     play(test, "a")
 
 
-def test_what_waits_for_room_is_answered_when_it_is_held_back():
-    # It waited for room for seconds, and its third target ended meanwhile at
-    # another entry. The caller need not wait for its deadline.
+def test_waiting_request_is_refused_when_it_is_quarantined():
+    # The request is quarantined by another entry while it waits for capacity.
+    # The caller must not have to wait for its deadline.
     async def test(parts):
         parts.engines.full = {"a"}
         caller, task = parts.start(make_request("/llm/x"))
@@ -189,8 +188,9 @@
     play(test, "a", engine=RESERVING)
 
 
-def test_copies_that_are_being_read_elsewhere_are_broken_off():
-    # Targets that still read a request of three ends would end as well.
+def test_prefilling_copies_of_a_quarantined_request_are_cancelled():
+    # Targets that still prefill a request that crashed three others would
+    # crash as well.
     async def test(parts):
         caller, task = parts.start(make_request("/llm/x"))
         run = await parts.engines.wait_run(1)
@@ -203,7 +203,7 @@
     play(test, "a")
 
 
-def test_stream_that_runs_is_left_alone_when_its_like_is_held_back():
+def test_running_stream_continues_when_its_request_is_quarantined():
     async def test(parts):
         caller, task, run = await begin(parts, "/llm/x", 1)
         parts.hold_back(make_request("/llm/x"))
@@ -214,14 +214,14 @@
     play(test, "a")
 
 
-def test_stream_that_runs_is_not_moved_once_its_like_is_held_back():
-    # Its target leaves. Stopped there and sent on with its memory, it would
-    # run at one more target; where it is, it may still come to its end.
+def test_running_stream_of_a_quarantined_request_is_not_migrated():
+    # Its target leaves. Migrated, it could crash one more target; where it
+    # is, it may still finish.
     async def test(parts):
         caller, task, run = await begin(parts, "/llm/x", 1)
         parts.hold_back(make_request("/llm/x"))
         parts.leave(run.target)
-        # a move begins within a tenth of a second, when turns are taken
+        # a migration would start within 0.1 s
         await asyncio.sleep(0.3)
         assert not parts.engines.moves
         await finish(task, run, 1)
@@ -230,9 +230,9 @@
     play(test, "a", "b")
 
 
-def test_stream_under_way_to_its_next_target_is_held_back():
-    # Its memory was copied and its target told to stop it; before it is sent
-    # on, three targets have ended under its like.
+def test_migrating_stream_is_aborted_when_it_is_quarantined():
+    # The same request is quarantined after the run was stopped and copied, but
+    # before it is resumed.
     async def test(parts):
         caller, task, run = await begin(parts, "/llm/x", 1)
         move = parts.engines.move
@@ -250,7 +250,7 @@
     play(test, "a", "b")
 
 
-def test_operator_lets_a_request_through_or_keeps_it_out():
+def test_operator_can_release_or_block_a_request():
     async def test(parts):
         request = make_request("/read/x")
         parts.engines.failing = {"w-a": 200}
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_dispatching.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_dispatching.py
@@ -1,4 +1,4 @@
-"""Tests of sending requests: what may run again, and what is said."""
+"""Tests of sending requests: retries, and the errors callers get."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 
 
 def answer_all(parts, status: int = 200) -> None:
-    """Let every target answer with an empty body."""
+    """Make every target answer with an empty body."""
     for name in ("a", "b", "c"):
         parts.engines.failing[f"w-{name}"] = status
 
@@ -33,8 +33,8 @@
 
 
 def test_request_that_may_run_once_is_not_sent_again_after_a_loss():
-    # The caller sees 502 and knows that it may have run. The connection
-    # breaks after the request was sent; a second target would run it again.
+    # The connection breaks after the request was sent, so a retry could run it
+    # twice. The caller gets an error which says that it may have run.
     async def test(parts):
         parts.engines.lose = {"w-a", "w-b"}
         failure = await fail(parts, make_request("/plain/x"))
@@ -45,9 +45,9 @@
     play(test, "a", "b")
 
 
-def test_lines_of_lost_targets_show_that_a_request_came_again():
-    # Target after target broke off, and each line named another request: a
-    # caller that asks again does so under a new id. Path, team and body stay.
+def test_log_of_lost_targets_shows_that_a_request_was_retried():
+    # A caller retries under a new id, so ids alone did not show that the same
+    # request failed at several targets. The logged digest does.
     async def test(parts):
         parts.engines.lose = {"w-a"}
         for identity, body in (("r1", b"x"), ("r2", b"x"), ("r3", b"y")):
@@ -73,7 +73,7 @@
     play(test, "a", "b", "c")
 
 
-def test_target_that_can_not_be_reached_costs_nothing_but_time():
+def test_send_to_an_unreachable_target_takes_no_retry():
     async def test(parts):
         answer_all(parts)
         parts.engines.dark = {"w-a"}
@@ -86,7 +86,7 @@
 
 
 def test_address_of_another_instance_is_not_used_again():
-    # Requests went on to an address that another instance had taken over.
+    # Requests were still sent to an address that another instance had taken.
     async def test(parts):
         answer_all(parts)
         parts.engines.wrong = {"w-a"}
@@ -99,7 +99,7 @@
     play(test, "a", "b")
 
 
-def test_refused_by_all_is_told_as_not_run_with_when_to_come_back():
+def test_request_refused_by_all_targets_has_not_run_and_may_be_retried():
     async def test(parts):
         parts.engines.refuse = {"w-a", "w-b"}
         failure = await fail(parts, make_request("/plain/x"))
@@ -121,7 +121,7 @@
     play(test, "a", "b")
 
 
-def test_repeatable_request_runs_on_no_more_targets_than_allowed():
+def test_retries_do_not_exceed_the_attempts_of_the_route():
     async def test(parts):
         answer_all(parts, 500)
         caller = await parts.serve(make_request("/read/x"))
@@ -131,8 +131,9 @@
     play(test, "a", "b", "c")
 
 
-def test_repeats_stop_when_the_budget_is_used_up():
-    # Repeats of what a broken target fails double the load of the others.
+def test_retries_stop_when_the_budget_is_exhausted():
+    # Without a budget, retries for one failing target double the load of the
+    # others.
     async def test(parts):
         answer_all(parts, 500)
         for _ in range(40):
@@ -143,7 +144,7 @@
     play(test, "a", "b", "c")
 
 
-def test_hopeless_request_is_refused_at_once_as_not_run():
+def test_request_past_its_deadline_is_refused_as_not_run():
     async def test(parts):
         now = tell_time()
         failure = await fail(parts, make_request("/plain/x", deadline=now))
@@ -172,8 +173,9 @@
     play(test, "a")
 
 
-def test_team_goes_with_the_request_and_classes_do_not_preempt():
-    # By class, short answers preempted long ones, which were read in again.
+def test_team_is_sent_and_classes_do_not_preempt():
+    # With the urgency of their class, short generations preempted long ones,
+    # which had to be prefilled again.
     async def test(parts):
         caller, task = parts.start(make_request("/llm/x"))
         answer = await parts.engines.wait_run(1)
@@ -186,8 +188,8 @@
 
 
 def test_requests_before_the_first_configuration_wait_for_it():
-    # All processes were killed at once; callers came back before the entry
-    # had heard a voter, were told to come again, and missed their objective.
+    # After a restart of all processes callers retried before the entry had
+    # reached a voter, were refused and missed their latency objective.
     async def test(parts):
         index, parts.state.index = parts.state.index, None
         answer_all(parts)
@@ -201,8 +203,8 @@
     play(test, "a")
 
 
-def test_long_generation_is_turned_away_by_an_instance_that_ends():
-    # A stream was begun by an instance that ended before it could.
+def test_stopping_instance_refuses_a_long_generation():
+    # An instance that was stopping accepted a stream that it could not finish.
     async def test(parts):
         parts.state.ends_at = tell_time() + 4.0
         prompt = Prompt(tokens=100, most_output=1000)
@@ -215,7 +217,7 @@
     play(test, "a")
 
 
-def test_short_generation_and_plain_call_are_served_until_an_instance_ends():
+def test_stopping_instance_serves_short_generations_and_plain_calls():
     async def test(parts):
         parts.state.ends_at = tell_time() + 4.0
         answer_all(parts)
@@ -229,9 +231,9 @@
     play(test, "a")
 
 
-def test_generations_that_ended_tell_how_long_one_takes():
-    # Engines of another speed than the usual one: what may still be begun
-    # follows what was seen there.
+def test_duration_is_estimated_from_completed_generations():
+    # Whether a generation fits into the remaining time is estimated from the
+    # measured speed, not from the default one.
     async def test(parts):
         caller, task = parts.start(make_request())
         run = await parts.engines.wait_run(1)
@@ -248,9 +250,9 @@
     play(test, "a")
 
 
-def test_short_answers_do_not_tell_how_long_a_generation_takes():
-    # A stopped instance began a generation of 2,200 tokens with 3.7 s left:
-    # by the answers of three events, which come in one piece, it took 3 s.
+def test_duration_is_not_estimated_from_short_answers():
+    # Answers of three events arrive in one piece and suggest too high a speed:
+    # 2,200 tokens were estimated to take 3 s and accepted with 3.7 s left.
     async def test(parts):
         caller, task = parts.start(make_request())
         run = await parts.engines.wait_run(1)
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_headerrecorder.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_headerrecorder.py
@@ -1,4 +1,4 @@
-"""Tests of what is fixture of targets' words beside their answers."""
+"""Tests of recording what answer headers report of targets."""
 
 import json
 import random
@@ -24,7 +24,7 @@
 
 
 class RecorderFixture:
-    """Remarks with a log and counters that can be read."""
+    """A header recorder whose log and counters can be read."""
 
     def __init__(self):
         self._lines = tempfile.TemporaryFile()
@@ -46,17 +46,17 @@
         )
 
     def record(self, **words) -> None:
-        """Note an answer of one target."""
+        """Record the head of an answer of one target."""
         facts, target = AnswerFacts(**words), make_target("i1")
         self.recorder.record(target, facts, self.recorder.find_limit(target))
 
     def read_lines(self) -> list[dict]:
-        """Return what was logged."""
+        """Return the logged lines."""
         self._lines.seek(0)
         return [json.loads(line) for line in self._lines]
 
 
-def test_each_change_of_a_limit_is_believed():
+def test_each_change_of_a_limit_is_recorded():
     fixture = RecorderFixture()
     news = []
     fixture.limits.watchers.append(lambda word, before: news.append(word.rate))
@@ -66,7 +66,7 @@
     assert news == [1.5, 1.0, None]
 
 
-def test_limit_that_is_no_number_changes_no_belief():
+def test_invalid_limit_keeps_the_known_one():
     fixture = RecorderFixture()
     fixture.record(limit=RateLimit(1.5))
     fixture.record(limit=UnreadLimit())
@@ -75,7 +75,7 @@
     assert line["event"] == "header_unread"
 
 
-def test_unread_header_is_logged_once_and_counted():
+def test_unknown_header_is_logged_once_and_counted():
     fixture = RecorderFixture()
     for _ in range(3):
         fixture.record(unknown_headers=("Server-Wish",))
@@ -86,7 +86,7 @@
     assert counted in fixture.metrics.render()
 
 
-def test_targets_can_make_up_any_number_of_headers():
+def test_number_of_counted_unknown_headers_is_limited():
     fixture = RecorderFixture()
     fixture.record(
         unknown_headers=tuple(f"x-{n}" for n in range(2 * MAX_UNKNOWN_HEADERS))
@@ -107,7 +107,7 @@
     assert counted in fixture.metrics.render()
 
 
-def test_rest_that_is_no_number_is_told():
+def test_invalid_rest_is_logged_and_not_recorded():
     fixture = RecorderFixture()
     fixture.record(rest=UnreadRest())
     fixture.record(rest=NoRest())
@@ -116,7 +116,7 @@
     assert not fixture.rests
 
 
-def test_another_instance_at_the_address_asks_for_itself():
+def test_rest_of_another_instance_at_the_address_is_ignored():
     fixture = RecorderFixture()
     fixture.record(rest=AskedRest(3.0), other_instance="i2")
     assert not fixture.rests
@@ -132,7 +132,7 @@
     assert fixture.table.leaves("i1")
 
 
-def test_another_instance_at_the_address_says_that_it_leaves_itself():
+def test_leaving_of_another_instance_is_recorded_for_that_instance():
     fixture = RecorderFixture()
     fixture.table.put(make_target("i1"))
     fixture.table.put(make_target("i2"))
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_limits.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Tests of what callers get while targets name limits."""
+"""Tests of serving callers while targets have rate limits."""
 
 import asyncio
 
@@ -26,7 +26,7 @@
 
 
 async def answer_plain(parts, count: int = 1) -> list[str]:
-    """Serve plain calls, one after the other; return who ran them."""
+    """Serve plain calls in sequence and return the targets used."""
     names = []
     for _ in range(count):
         caller, task = parts.start(make_request("/plain/x"))
@@ -37,7 +37,7 @@
     return names
 
 
-def test_what_a_target_in_need_does_not_take_goes_to_others():
+def test_requests_above_a_rate_limit_go_to_other_targets():
     async def test(parts):
         parts.name_limit("w-a", 1.5)
         parts.turn = REFUSED
@@ -47,8 +47,8 @@
 
 
 @pytest.mark.parametrize("path", ("/plain/x", "/llm/x"))
-def test_nobody_waits_for_a_turn_while_another_target_has_room(path):
-    # A call waited for half of its objective beside a target that was free.
+def test_no_request_waits_for_a_permit_while_another_target_is_free(path):
+    # A call waited for half of its objective though another target was free.
     async def test(parts):
         parts.name_limit("w-a", 1.5)
         parts.name_limit("a", 1.5)
@@ -62,7 +62,7 @@
     play(test, "a", "b", engine=RESERVING)
 
 
-def test_target_in_need_is_sent_what_it_takes():
+def test_rate_limited_target_is_sent_requests_with_a_permit():
     async def test(parts):
         parts.name_limit("w-a", 1.5)
         assert await answer_plain(parts) == ["w-a"]
@@ -75,9 +75,9 @@
 
 
 @pytest.mark.parametrize("path", ("/plain/x", "/read/x", "/llm/x"))
-def test_call_that_no_target_takes_is_refused_at_once(path):
-    # It waited in a queue that the rate could not empty, or for rounds at
-    # targets that could not take it either.
+def test_call_above_the_limits_of_all_targets_is_refused_at_once(path):
+    # It waited in a queue that the rate limits could not empty, or was retried
+    # at targets that could not take it either.
     async def test(parts):
         for name in ("a", "b", "w-a", "w-b"):
             parts.name_limit(name, 0.5)
@@ -85,20 +85,21 @@
         failures = [await fail(parts, make_request(path)) for _ in range(3)]
         assert {f.kind for f in failures} == {ErrorKind.OVERLOADED}
         assert {f.ran for f in failures} == {Ran.NO}
-        # both targets together take one a second
+        # the limits of both targets add up to one request per second
         back = [f.retry_after.total_seconds() for f in failures]
         assert back[0] == 1.0 and max(back) <= 3.0
         assert parts.engines.orders == []
         lines = parts.read_lines("over_limit")
         assert [line["rate"] for line in lines] == [1.0, 1.0, 1.0]
-        # each was asked for once: nothing waited
+        # each target was asked for once: no request waited
         assert len(parts.claims) == 2
 
     play(test, "a", "b")
 
 
-def test_target_that_is_avoided_for_a_moment_is_used_beside_those_in_need():
-    # It had not answered once, and callers were told that all were in need.
+def test_avoided_target_is_used_when_all_others_are_at_their_limits():
+    # It was avoided after one missing answer, and callers were refused as if
+    # all targets had reached their limits.
     async def test(parts):
         parts.name_limit("w-a", 0.5)
         parts.name_limit("w-b", 0.5)
@@ -109,9 +110,9 @@
     play(test, "a", "b", "c")
 
 
-def test_target_that_is_full_for_a_moment_is_asked_again_beside_one_in_need():
-    # The one without a limit refused once, and the caller was told that all
-    # were in need.
+def test_briefly_full_target_is_retried_when_the_other_is_at_its_limit():
+    # The target without a limit refused once, and the caller was refused as if
+    # all targets had reached their limits.
     async def test(parts):
         parts.name_limit("w-a", 0.5)
         parts.turn = REFUSED
@@ -128,8 +129,8 @@
     play(test, "a", "b")
 
 
-def test_generation_is_sent_to_a_target_in_need_without_a_reservation():
-    # The reservation came to it as one more request.
+def test_generation_at_a_rate_limited_target_takes_no_reservation():
+    # The reservation counted as one more request against the limit.
     async def test(parts):
         parts.name_limit("a", 1.5)
         caller, task, run = await begin(parts)
@@ -140,8 +141,8 @@
     play(test, "a", engine=RESERVING)
 
 
-def test_late_generation_claims_its_turn_after_those_in_time():
-    # After a rush the late ones would take all that a target in need takes.
+def test_late_generation_gets_a_permit_after_those_in_time():
+    # After a burst, late generations would use up the limit of a target.
     async def test(parts):
         parts.name_limit("a", 1.5)
         parts.engines.facts = AnswerFacts(limit=RateLimit(1.5))
@@ -157,7 +158,7 @@
     play(test, "a", engine=RESERVING)
 
 
-def test_streams_that_run_at_a_target_in_need_go_on():
+def test_running_streams_of_a_rate_limited_target_continue():
     async def test(parts):
         caller, task, run = await begin(parts)
         parts.name_limit("a", 0.0)
@@ -168,7 +169,7 @@
     play(test, "a")
 
 
-def test_limit_is_learnt_of_an_answer_and_ends_with_one():
+def test_limit_is_set_and_removed_by_answers():
     async def test(parts):
         for limit, rate in ((RateLimit(1.5), 1.5), (NoLimit(), None)):
             caller, task = parts.start(make_request("/plain/x"))
@@ -182,8 +183,8 @@
     play(test, "a")
 
 
-def test_generations_move_to_targets_that_are_not_in_need():
-    # At a target in need it would wait for a turn, with its caller.
+def test_generations_migrate_to_targets_without_a_limit():
+    # At a rate-limited target the generation would wait for a permit.
     async def test(parts):
         for name in ("b", "c", "d"):
             parts.name_limit(name, 5.0)
@@ -198,8 +199,8 @@
     play(test, "a", "b", "c", "d", "e")
 
 
-def test_generation_does_not_wait_for_targets_in_need_beside_a_free_one():
-    # It was offered to three drawn targets a round, all of them in need.
+def test_generation_does_not_wait_for_limited_targets_beside_a_free_one():
+    # Each round tried three random targets, all of them rate-limited.
     async def test(parts):
         parts.turn = REFUSED
         service = parts.state.index.services["llm"]
@@ -212,13 +213,13 @@
         run = await parts.engines.wait_run(1)
         await finish(task, run, 1)
         assert run.target == "t9"
-        # it was never counted among those that wait
+        # it was never added to the queue
         assert parts.queues.own() == []
 
     play(test, *(f"t{n}" for n in range(10)), engine=RESERVING)
 
 
-def test_entry_asks_few_of_many_targets_in_need():
+def test_entry_asks_for_permits_of_few_of_many_limited_targets():
     async def test(parts):
         names = [f"t{n}" for n in range(20)]
         for name in names:
@@ -230,8 +231,9 @@
     play(test, *(f"t{n}" for n in range(20)))
 
 
-def test_turn_at_a_cold_target_is_used_at_once():
-    # What is given of its bound would be sent when the window has moved on.
+def test_permit_of_a_cold_target_is_used_at_once():
+    # A permit that is used later would count in the wrong window of the
+    # bound for cold targets.
     async def test(parts):
         web = Service(name="web", connections=10, cold_rate=10.0)
         llm = Service(name="llm", connections=10, engine=ENGINE)
@@ -245,8 +247,9 @@
     play(test, "a")
 
 
-def test_entry_alone_shares_with_all_that_were_known_before():
-    # The voter that it hears last hears few entries, and its part would grow.
+def test_isolated_entry_keeps_the_last_known_number_of_entries():
+    # The last voter that it reaches may know few entries, and the share of
+    # this entry would grow.
     async def test(parts):
         parts.name_limit("w-a", 1.5)
         parts.engines.facts = AnswerFacts(limit=RateLimit(1.5))
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_rests.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_rests.py
@@ -1,4 +1,4 @@
-"""Tests of targets that ask an entry to send nothing for a while."""
+"""Tests of rests: targets that ask an entry to send nothing for a while."""
 
 import asyncio
 
@@ -24,28 +24,28 @@
 from chivepier.types import Ran
 
 RESERVING = attrs.evolve(ENGINE, reserve_seconds=2.0)
-TOLD = AnswerFacts(not_run=True, rest=AskedRest(3.0))
+REFUSAL = AnswerFacts(not_run=True, rest=AskedRest(3.0))
 
 
-def refuse(parts: Parts, *names: str, seconds: float = 3.0) -> None:
-    """Let targets turn away what they get and ask for rest."""
+def refuse_with_rest(parts: Parts, *names: str, seconds: float = 3.0) -> None:
+    """Make targets refuse all requests and ask for a rest."""
     parts.engines.refuse |= set(names)
-    parts.engines.refusal = attrs.evolve(TOLD, rest=AskedRest(seconds))
+    parts.engines.refusal = attrs.evolve(REFUSAL, rest=AskedRest(seconds))
 
 
-def ask(parts: Parts, *names: str, seconds: float = 3.0) -> None:
-    """Let this entry have been asked for rest by targets."""
+def record_rest(parts: Parts, *names: str, seconds: float = 3.0) -> None:
+    """Record that targets have asked this entry for a rest."""
     for name in names:
         parts.rests.note(name, 0, seconds, tell_time())
 
 
 def count_sends(parts: Parts, name: str) -> int:
-    """Count what was sent to a target."""
+    """Count the requests that were sent to a target."""
     return sum(target == name for target, _ in parts.engines.orders)
 
 
 def answer_all(parts: Parts) -> None:
-    """Let targets answer each call at once."""
+    """Make targets answer each call at once."""
     send = parts.engines.send
 
     async def send_and_end(*args):
@@ -60,7 +60,7 @@
 def test_target_at_rest_is_sent_no_other_request():
     async def test(parts):
         answer_all(parts)
-        refuse(parts, "w-a")
+        refuse_with_rest(parts, "w-a")
         for _ in range(40):
             await parts.serve(make_request("/plain/x"))
         assert count_sends(parts, "w-a") == 1
@@ -72,13 +72,14 @@
 
 
 def test_rest_that_is_asked_while_a_send_waits_for_its_connection_is_kept():
-    # The last look came before the connection stood.
+    # Rests were last checked before the connection was established, so
+    # requests went to a target that had asked for a rest meanwhile.
     async def test(parts):
         answer_all(parts)
         stands = parts.engines.hold_connection("w-a")
         calls = [parts.start(make_request("/plain/x"))[1] for _ in range(6)]
         await asyncio.sleep(0.05)
-        ask(parts, "w-a")
+        record_rest(parts, "w-a")
         stands.set()
         await asyncio.gather(*calls)
         assert count_sends(parts, "w-a") == 0
@@ -87,10 +88,10 @@
     play(test, "a", "b")
 
 
-def test_request_is_turned_away_at_once_when_all_targets_are_at_rest():
+def test_request_is_refused_at_once_when_all_targets_are_at_rest():
     async def test(parts):
-        ask(parts, "w-a", seconds=3.0)
-        ask(parts, "w-b", seconds=2.0)
+        record_rest(parts, "w-a", seconds=3.0)
+        record_rest(parts, "w-b", seconds=2.0)
         began = tell_time()
         failures = [
             await fail(parts, make_request("/plain/x")) for _ in range(20)
@@ -109,9 +110,9 @@
 
 
 def test_refusals_of_all_targets_end_a_request_at_once():
-    # It went through all of them three times, and used up repeats.
+    # The request was sent to each target three times and used up retries.
     async def test(parts):
-        refuse(parts, "w-a", "w-b")
+        refuse_with_rest(parts, "w-a", "w-b")
         failure = await fail(parts, make_request("/plain/x"))
         assert failure.kind is ErrorKind.OVERLOADED
         assert len(parts.engines.orders) == 2
@@ -122,19 +123,19 @@
     play(test, "a", "b")
 
 
-def test_request_waits_for_a_rest_that_ends_before_it_is_late():
+def test_request_waits_for_a_rest_that_ends_within_its_objective():
     async def test(parts):
         answer_all(parts)
-        ask(parts, "w-a", "w-b", seconds=0.2)
+        record_rest(parts, "w-a", "w-b", seconds=0.2)
         await parts.serve(make_request("/plain/x"))
         assert len(parts.engines.orders) == 1
 
     play(test, "a", "b")
 
 
-def test_what_waits_for_the_end_of_a_rest_does_not_come_at_once():
+def test_requests_that_wait_for_the_end_of_a_rest_are_not_sent_in_a_burst():
     async def test(parts):
-        ask(parts, "w-a", seconds=0.2)
+        record_rest(parts, "w-a", seconds=0.2)
         parts.engines.heads.clear()
         calls = [parts.start(make_request("/plain/x"))[1] for _ in range(5)]
         run = await parts.engines.wait_run(1)
@@ -151,9 +152,9 @@
 
 
 @pytest.mark.parametrize("full", (False, True))
-def test_target_at_rest_is_asked_for_no_room(full):
+def test_target_at_rest_is_asked_for_no_reservation(full):
     async def test(parts):
-        ask(parts, "a")
+        record_rest(parts, "a")
         if full:
             parts.engines.full.add("b")
         _, task = parts.start(make_request("/llm/x"))
@@ -168,9 +169,9 @@
     play(test, "a", "b", engine=RESERVING)
 
 
-def test_generation_is_turned_away_at_once_when_rests_outlast_its_use():
+def test_generation_is_refused_at_once_when_all_rests_are_too_long():
     async def test(parts):
-        ask(parts, "a", "b", seconds=8.0)
+        record_rest(parts, "a", "b", seconds=8.0)
         began = tell_time()
         failure = await fail(parts, make_request("/llm/x"))
         assert tell_time() - began < 0.5
@@ -181,7 +182,7 @@
     play(test, "a", "b", engine=RESERVING)
 
 
-def test_reservation_that_is_refused_with_rest_is_kept_to():
+def test_rest_in_the_refusal_of_a_reservation_is_respected():
     async def test(parts):
         parts.engines.full.add("a")
         parts.engines.full_facts = AnswerFacts(rest=AskedRest(5.0), limit=None)
@@ -197,11 +198,11 @@
     play(test, "a", "b", engine=RESERVING)
 
 
-def test_source_at_rest_is_sent_no_order_until_it_ends():
+def test_migration_waits_for_the_end_of_a_rest_of_its_source():
     async def test(parts):
         caller, task, run = await begin(parts)
         source = run.target
-        ask(parts, source, seconds=0.4)
+        record_rest(parts, source, seconds=0.4)
         parts.leave(source)
         await asyncio.sleep(0.25)
         assert parts.engines.moves == []
@@ -213,9 +214,9 @@
     play(test, "a", "b")
 
 
-def test_copy_is_freed_by_no_order_to_a_target_at_rest():
+def test_target_at_rest_is_sent_no_control_call_or_probe():
     async def test(parts):
-        ask(parts, "a")
+        record_rest(parts, "a")
         calls = parts.dispatcher.calls
         target = make_target("a")
         assert not await calls.drop(target, "h1")
@@ -228,7 +229,7 @@
     play(test, "a", "b")
 
 
-def test_stopped_run_goes_on_at_its_source_when_the_copy_is_at_rest():
+def test_stopped_run_resumes_at_its_source_when_the_copy_is_at_rest():
     async def test(parts):
         caller, task, run = await begin(parts)
         other = "b" if run.target == "a" else "a"
@@ -237,7 +238,7 @@
         async def move_and_ask(*args):
             moved = await move(*args)
             if args[3]:
-                ask(parts, other, seconds=9.0)
+                record_rest(parts, other, seconds=9.0)
             return moved
 
         parts.engines.move = move_and_ask
@@ -250,10 +251,10 @@
     play(test, "a", "b")
 
 
-def test_answer_that_asks_for_nothing_ends_a_rest_that_is_over():
+def test_expired_rest_is_removed_by_an_answer_without_one():
     async def test(parts):
         answer_all(parts)
-        ask(parts, "w-a", seconds=0.05)
+        record_rest(parts, "w-a", seconds=0.05)
         await asyncio.sleep(0.06)
         parts.engines.facts = AnswerFacts(rest=NoRest())
         await parts.serve(make_request("/plain/x"))
@@ -262,10 +263,10 @@
     play(test, "a")
 
 
-def test_next_life_of_a_target_is_not_at_rest():
+def test_restarted_target_is_not_at_rest():
     async def test(parts):
         answer_all(parts)
-        ask(parts, "w-a", seconds=9.0)
+        record_rest(parts, "w-a", seconds=9.0)
         target = make_target("w-a", "web")
         target.born = 5
         parts.table.put(target)
@@ -275,11 +276,12 @@
     play(test, "a")
 
 
-def test_repeat_of_a_request_passes_targets_at_rest_by():
-    # The one that is left failed it, and none is left for a second send.
+def test_retry_skips_targets_at_rest():
+    # The only target that is not at rest fails the request, so no target
+    # remains for a retry.
     async def test(parts):
         parts.configure(services=(Service(name="web", connections=9),))
-        ask(parts, "w-a")
+        record_rest(parts, "w-a")
         parts.engines.failing["w-b"] = 500
         caller = await parts.serve(make_request("/read/x"))
         assert caller.status == 500
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_stopping.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_stopping.py
@@ -1,4 +1,4 @@
-"""Tests of the order that stops a run for its last copy."""
+"""Tests of stopping a run for the last copy of its KV cache."""
 
 import pytest
 
@@ -11,13 +11,13 @@
 
 
 def find_other(name: str) -> str:
-    """Return the other one of two targets."""
+    """Return the other one of the targets a and b."""
     return "b" if name == "a" else "a"
 
 
-def test_run_that_was_stopped_goes_on_at_its_source_without_room_elsewhere():
-    # The first copy finds room, the second does not: the run is stopped,
-    # but its source still keeps the memory and can go on from it.
+def test_stopped_run_resumes_at_its_source_without_capacity_elsewhere():
+    # The destination has no capacity for the second copy. The run is already
+    # stopped, but its source keeps the KV cache and can resume it.
     async def test(parts):
         caller, task, run = await begin(parts)
         source = parts.table.get(run.target).address
@@ -37,7 +37,7 @@
 
 
 def test_copy_of_a_run_that_has_ended_is_freed():
-    # The first copy of a run that has ended kept memory at the next target.
+    # The first copy of a run that had ended was never freed.
     async def test(parts):
         caller, task, run = await begin(parts)
 
@@ -56,9 +56,9 @@
     play(test, "a", "b")
 
 
-def test_stream_goes_on_at_the_first_copy_when_its_target_is_gone():
-    # The target is gone before the second copy. The first one holds all but
-    # the last few tokens, which the next target makes again.
+def test_stream_resumes_from_the_first_copy_when_its_target_is_gone():
+    # The source is gone before the second copy. The first one lacks only the
+    # last few tokens, which the destination generates again.
     async def test(parts):
         caller, task, run = await begin(parts)
 
@@ -76,9 +76,9 @@
     play(test, "a", "b")
 
 
-def test_stream_that_ends_whole_as_its_stop_is_lost_is_whole():
-    # Its target was gone when the order to stop came, and the copy refused:
-    # the answer, which had come to its end, was cut off.
+def test_stream_that_completes_while_its_stop_is_lost_is_complete():
+    # The target ended the answer and was unreachable when it was told to stop,
+    # and the copy was refused: the complete answer was truncated.
     async def test(parts):
         caller, task, run = await begin(parts)
 
@@ -100,9 +100,9 @@
 @pytest.mark.parametrize(
     "outcome", (MoveOutcome.NO_ROOM, MoveOutcome.BUSY, MoveOutcome.NO_RUN)
 )
-def test_stream_whose_target_refused_to_stop_is_whole(outcome):
-    # Its target found the destination gone, and went on to the end: five
-    # seconds later the answer was sent on to a copy, and cut off.
+def test_stream_whose_target_refused_to_stop_is_complete(outcome):
+    # The source found no destination and completed the answer. Five seconds
+    # later the answer was resumed from a copy and truncated.
     async def test(parts):
         caller, task, run = await begin(parts)
         other, refused = find_other(run.target), []
@@ -127,9 +127,10 @@
 
 
 @pytest.mark.parametrize("framed", (True, False))
-def test_end_after_a_stop_without_an_answer_is_believed_by_its_frame(framed):
-    # The order's connection broke, and the target went on to the end: the
-    # answer was cut off. Without a frame a stopped stream ends the same way.
+def test_end_after_an_unanswered_stop_counts_only_with_framing(framed):
+    # The connection of the stop order broke, and the target completed the
+    # answer, which was truncated. Without framing, the end of a stopped stream
+    # looks the same, so the run is resumed.
     async def test(parts):
         caller, task, run = await begin(parts)
         run.framed = framed
@@ -155,7 +156,7 @@
     play(test, "a", "b")
 
 
-def test_copy_of_a_run_that_ends_as_its_stop_is_lost_is_freed():
+def test_copy_of_a_run_that_ends_while_its_stop_is_lost_is_freed():
     async def test(parts):
         caller, task, run = await begin(parts)
 
@@ -174,9 +175,9 @@
     play(test, "a", "b")
 
 
-def test_order_to_stop_that_never_left_is_given_again():
-    # The source could not be reached for a moment, and went on: left there
-    # with a copy that grows old, its stream broke off when it was gone.
+def test_stop_order_that_was_not_sent_is_repeated():
+    # The source was unreachable for a moment and ran on. Without another order
+    # the copy became outdated, and the stream failed when the source was gone.
     async def test(parts):
         caller, task, run = await begin(parts)
         lost = []
@@ -197,7 +198,7 @@
     play(test, "a", "b")
 
 
-def test_stream_cut_off_where_its_stop_never_left_goes_on_at_the_copy():
+def test_stream_that_broke_before_its_stop_was_sent_resumes_from_the_copy():
     async def test(parts):
         caller, task, run = await begin(parts)
 
