--- a/packages/gateway/src/chivepier/gateway/entry/entry.py
+++ b/packages/gateway/src/chivepier/gateway/entry/entry.py
@@ -22,18 +22,18 @@
 from chivepier.gateway.permits import SendLimiter
 from chivepier.gateway.quarantine import Quarantine
 from chivepier.gateway.serving import BodyMemory
+from chivepier.gateway.serving import CrashGuard
 from chivepier.gateway.serving import Dispatcher
-from chivepier.gateway.serving import Guard
+from chivepier.gateway.serving import HeaderRecorder
 from chivepier.gateway.serving import Mover
 from chivepier.gateway.serving import Planner
-from chivepier.gateway.serving import Remarks
 from chivepier.gateway.serving import RequestHandler
 from chivepier.gateway.serving import RetryAfterScheduler
 from chivepier.gateway.serving import RetryBudget
 from chivepier.gateway.serving import SendGate
 from chivepier.gateway.serving import ServingState
 from chivepier.gateway.serving import TargetCalls
-from chivepier.gateway.serving import TargetPort
+from chivepier.gateway.serving import TargetClient
 from chivepier.gateway.settings import EntrySettings
 from chivepier.gateway.targets import LeavingTargets
 from chivepier.gateway.targets import LoadBalancer
@@ -76,7 +76,7 @@
     def __init__(
         self,
         settings: EntrySettings,
-        port: TargetPort,
+        port: TargetClient,
         decode: Decode,
         clock: Clock,
         log: EventLog,
@@ -131,7 +131,7 @@
             self.metrics,
         )
         leavers = LeavingTargets(self.table)
-        remarks = Remarks(
+        remarks = HeaderRecorder(
             self.limits,
             self.rests,
             leavers,
@@ -150,7 +150,7 @@
             log,
             self.metrics,
         )
-        guard = Guard(self.quarantine, clock)
+        guard = CrashGuard(self.quarantine, clock)
         self.mover = Mover(
             calls,
             chooser,
--- a/packages/gateway/src/chivepier/gateway/serving/__init__.py
+++ b/packages/gateway/src/chivepier/gateway/serving/__init__.py
@@ -3,61 +3,61 @@
 from chivepier.gateway.serving.answerfacts import AnswerFacts
 from chivepier.gateway.serving.bodyallocation import BodyAllocation
 from chivepier.gateway.serving.bodymemory import BodyMemory
-from chivepier.gateway.serving.callerport import CallerPort
+from chivepier.gateway.serving.callerconnection import CallerConnection
 from chivepier.gateway.serving.callerrequest import CallerRequest
-from chivepier.gateway.serving.contact import Contact
+from chivepier.gateway.serving.callpurpose import CallPurpose
+from chivepier.gateway.serving.crashguard import CrashGuard
 from chivepier.gateway.serving.dispatcher import Dispatcher
-from chivepier.gateway.serving.errand import Errand
-from chivepier.gateway.serving.errors import AnswerCutError
-from chivepier.gateway.serving.errors import LostError
+from chivepier.gateway.serving.errors import BrokenAnswerError
+from chivepier.gateway.serving.errors import ConnectionLostError
 from chivepier.gateway.serving.errors import NotPermittedError
 from chivepier.gateway.serving.errors import NotSentError
-from chivepier.gateway.serving.guard import Guard
+from chivepier.gateway.serving.exchange import Exchange
+from chivepier.gateway.serving.headerrecorder import HeaderRecorder
+from chivepier.gateway.serving.kvorigin import KvOrigin
 from chivepier.gateway.serving.moveoutcome import MoveOutcome
 from chivepier.gateway.serving.mover import Mover
 from chivepier.gateway.serving.moveresult import MoveResult
-from chivepier.gateway.serving.origin import Origin
 from chivepier.gateway.serving.planner import Planner
 from chivepier.gateway.serving.prompt import Prompt
-from chivepier.gateway.serving.remarks import Remarks
 from chivepier.gateway.serving.requesthandler import RequestHandler
 from chivepier.gateway.serving.retryafterscheduler import RetryAfterScheduler
 from chivepier.gateway.serving.retrybudget import RetryBudget
 from chivepier.gateway.serving.sendgate import SendGate
-from chivepier.gateway.serving.sendorder import SendOrder
+from chivepier.gateway.serving.sendoptions import SendOptions
 from chivepier.gateway.serving.servingstate import ServingState
 from chivepier.gateway.serving.targetanswer import TargetAnswer
 from chivepier.gateway.serving.targetcalls import TargetCalls
-from chivepier.gateway.serving.targetport import TargetPort
+from chivepier.gateway.serving.targetclient import TargetClient
 
 __all__ = [
-    "AnswerCutError",
     "AnswerFacts",
-    "BodyMemory",
     "BodyAllocation",
-    "CallerPort",
+    "BodyMemory",
+    "BrokenAnswerError",
+    "CallPurpose",
+    "CallerConnection",
     "CallerRequest",
-    "Contact",
-    "Errand",
-    "Guard",
-    "LostError",
-    "MoveResult",
+    "ConnectionLostError",
+    "CrashGuard",
+    "Dispatcher",
+    "Exchange",
+    "HeaderRecorder",
+    "KvOrigin",
     "MoveOutcome",
-    "Planner",
+    "MoveResult",
     "Mover",
-    "Dispatcher",
     "NotPermittedError",
     "NotSentError",
-    "Origin",
+    "Planner",
     "Prompt",
-    "Remarks",
-    "RetryBudget",
+    "RequestHandler",
     "RetryAfterScheduler",
+    "RetryBudget",
     "SendGate",
-    "SendOrder",
-    "RequestHandler",
+    "SendOptions",
     "ServingState",
     "TargetAnswer",
     "TargetCalls",
-    "TargetPort",
+    "TargetClient",
 ]
--- a/packages/gateway/src/chivepier/gateway/serving/copyturns.py
+++ b/packages/gateway/src/chivepier/gateway/serving/copyturns.py
@@ -5,7 +5,7 @@
 import contextlib
 
 from chivepier.gateway.serving.liverun import LiveRun
-from chivepier.gateway.serving.liverun import milliseconds
+from chivepier.gateway.serving.liverun import to_milliseconds
 from chivepier.gateway.targets import LoadTracker
 from chivepier.types import Clock
 
@@ -69,8 +69,10 @@
         self._board.set_copy_time(source, 0)
 
     def _publish(self, source: str) -> None:
-        seconds = sum(run.copy_seconds() for run in self._pending[source])
-        self._board.set_copy_time(source, milliseconds(seconds))
+        seconds = sum(
+            run.estimate_copy_seconds() for run in self._pending[source]
+        )
+        self._board.set_copy_time(source, to_milliseconds(seconds))
 
     @contextlib.asynccontextmanager
     async def take(
@@ -89,12 +91,12 @@
 
     async def _wait_for_turn(self, source: str, run: LiveRun) -> None:
         known = self._published_at[source] + PEER_UPDATE_SECONDS
-        await run.await_loss(max(0.0, known - self._clock.monotonic()))
+        await run.wait_for_loss(max(0.0, known - self._clock.monotonic()))
         began = self._clock.monotonic()
         before = self._board.get_copy_wait_ms(source, began)
         end = began + min(before / 1000, MAX_WAIT_SECONDS)
         while before and self._clock.monotonic() < end:
-            await run.await_loss(POLL_INTERVAL_SECONDS)
+            await run.wait_for_loss(POLL_INTERVAL_SECONDS)
             if run.lost.is_set():
                 return
             before = self._board.get_copy_wait_ms(
--- a/packages/gateway/src/chivepier/gateway/serving/dispatcher.py
+++ b/packages/gateway/src/chivepier/gateway/serving/dispatcher.py
@@ -1,31 +1,31 @@
-"""Sending a request until a target answers it."""
+"""Sends a request to targets, with retries, until one answers it."""
 
 import asyncio
 
 from chivepier.gateway.eventlog import EventLog
 from chivepier.gateway.quarantine import shorten
 from chivepier.gateway.serving.assignment import Assignment
-from chivepier.gateway.serving.errand import Errand
+from chivepier.gateway.serving.callpurpose import CallPurpose
+from chivepier.gateway.serving.crashguard import CrashGuard
 from chivepier.gateway.serving.errors import AllAtRestError
-from chivepier.gateway.serving.errors import AnswerCutError
-from chivepier.gateway.serving.errors import LostError
-from chivepier.gateway.serving.errors import NoRoomError
+from chivepier.gateway.serving.errors import BrokenAnswerError
+from chivepier.gateway.serving.errors import ConnectionLostError
+from chivepier.gateway.serving.errors import NoCapacityError
 from chivepier.gateway.serving.errors import NotPermittedError
 from chivepier.gateway.serving.errors import NotSentError
-from chivepier.gateway.serving.errors import OverLimitError
-from chivepier.gateway.serving.guard import Guard
+from chivepier.gateway.serving.errors import RateLimitedError
+from chivepier.gateway.serving.headerrecorder import describe_rest
 from chivepier.gateway.serving.liverun import LiveRun
 from chivepier.gateway.serving.mover import Mover
 from chivepier.gateway.serving.plan import Plan
 from chivepier.gateway.serving.rejectionpolicy import RejectionPolicy
-from chivepier.gateway.serving.remarks import describe_rest
 from chivepier.gateway.serving.retryafterscheduler import RetryAfterScheduler
 from chivepier.gateway.serving.retrybudget import RetryBudget
-from chivepier.gateway.serving.runwatch import RunWatch
+from chivepier.gateway.serving.runtracker import RunTracker
 from chivepier.gateway.serving.sendgate import SendGate
-from chivepier.gateway.serving.sendorder import SendOrder
-from chivepier.gateway.serving.sent import Sent
+from chivepier.gateway.serving.sendoptions import SendOptions
 from chivepier.gateway.serving.servingstate import ServingState
+from chivepier.gateway.serving.startedanswer import StartedAnswer
 from chivepier.gateway.serving.targetanswer import TargetAnswer
 from chivepier.gateway.serving.targetassigner import TargetAssigner
 from chivepier.gateway.serving.targetcalls import TargetCalls
@@ -37,33 +37,36 @@
 from chivepier.gateway.targets import TargetTable
 from chivepier.types import Clock
 
-# Objectives after which an attempt that could be repeated is given up.
-PATIENCE = 2.0
-# A target that refused may have room again after so many seconds.
-REFUSED_PAUSE = 0.03
-SERVER_ERROR = 500
-# Urgency at a target of all generations that start there. By class, a short
-# answer would preempt a long one, whose whole prompt is then read again.
+# Timeout of an attempt that may be retried, in multiples of the route's
+# latency objective.
+ATTEMPT_TIMEOUT_OBJECTIVES = 2.0
+# Pause after a round in which all targets refused, times the number of rounds:
+# a target may have capacity again after this long.
+REFUSED_RETRY_SECONDS = 0.03
+SERVER_ERROR_STATUS = 500
+# Urgency that a target is sent for every new generation. With the urgency of
+# their class, short generations would preempt long ones, whose prompts would
+# then be prefilled again.
 START_URGENCY = 5
 
 
 class Dispatcher:
-    """Picks targets, one after the other, within what may be repeated.
+    """Sends requests to targets and retries within the retry budget.
 
-    :param state: entries that share budgets
-    :param table: the targets
-    :param chooser: picks among them
-    :param health: learns how they answer
-    :param board: what runs where
-    :param queues: what waits for room
-    :param mover: watches generations
-    :param calls: reaches targets
-    :param budget: bounds repeats
-    :param guard: keeps back what ends targets
-    :param gate: knows what may be sent where
-    :param returns: when refused callers may come back
-    :param clock: monotonic time
-    :param log: decisions on requests
+    :param state: number of entries that share the retry budget
+    :param table: the known targets
+    :param chooser: load balancer that picks among them
+    :param health: failure and latency statistics of targets
+    :param board: load of each target
+    :param queues: requests that wait for capacity
+    :param mover: migrates generations off targets that leave
+    :param calls: client for calls to targets
+    :param budget: limits retries
+    :param guard: blocks requests that crash targets
+    :param gate: decides what may be sent to which target
+    :param returns: schedules when refused callers may retry
+    :param clock: monotonic clock
+    :param log: event log for decisions on requests
     """
 
     def __init__(
@@ -78,7 +81,7 @@
         mover: Mover,
         calls: TargetCalls,
         budget: RetryBudget,
-        guard: Guard,
+        guard: CrashGuard,
         gate: SendGate,
         returns: RetryAfterScheduler,
         clock: Clock,
@@ -95,84 +98,89 @@
         self.gate = gate
         self.clock = clock
         self.log = log
-        self.runs = RunWatch(board, mover, chooser.prefill_estimator, clock)
+        self.runs = RunTracker(board, mover, chooser.prefill_estimator, clock)
         self._refusals = RejectionPolicy(table, clock, returns, log)
         self._placing = TargetAssigner(
             chooser, health, queues, calls, guard, gate, clock, log
         )
 
-    async def dispatch(self, plan: Plan) -> Sent:
-        """Send a request until a target runs it.
+    async def dispatch(self, plan: Plan) -> StartedAnswer:
+        """Send a request to one target after another until one runs it.
 
-        :param plan: what to do
-        :returns: the answer to be relayed; whoever takes it must call
-            :meth:`end`
-        :raises RequestError: when it is given up
+        :param plan: the request and its route
+        :returns: the answer to relay, which the caller must pass to
+            :meth:`release`
+        :raises RequestError: when no further attempt is possible
         """
         tried: set[str] = set()
         runs = rounds = 0
-        paid = True
+        retry_counted = True
         while True:
             self._refusals.check_deadline(plan, runs)
             self.guard.check(plan, runs)
-            await self.gate.settle()
+            await self.gate.wait_fresh()
             place = await self._find_place(plan, tried, runs)
-            # it may have waited for long
+            # the request may have been quarantined while it waited
             self.guard.check(plan, runs)
             if place is None:
                 rounds += 1
                 self._refusals.check_rounds(plan, rounds, bool(tried), runs)
                 tried.clear()
-                await self.clock.sleep(REFUSED_PAUSE * rounds)
+                await self.clock.sleep(REFUSED_RETRY_SECONDS * rounds)
                 continue
-            if not paid and not self.take_repeat(plan):
+            if not retry_counted and not self.take_retry(plan):
                 raise self._refusals.make_error(
-                    plan, runs, "no repeats are left"
+                    plan, runs, "the retry budget is exhausted"
                 )
-            paid = False
-            self._note_place(plan, place)
+            retry_counted = False
+            self._log_placement(plan, place)
             target = place.target
             tried.add(target.instance)
-            more = plan.repeatable and runs + 1 < plan.route.attempts
+            may_retry = plan.repeatable and runs + 1 < plan.route.attempts
             try:
-                sent = await self._try(plan, place, more)
+                started = await self._attempt(plan, place, may_retry)
             except NotSentError as error:
                 self._note_not_sent(plan, target, error)
-                # nothing arrived anywhere: the next send is no repeat
-                paid = True
+                # the request did not arrive, so the next send is no retry
+                retry_counted = True
                 continue
-            except (LostError, AnswerCutError, TimeoutError) as error:
+            except (
+                ConnectionLostError,
+                BrokenAnswerError,
+                TimeoutError,
+            ) as error:
                 runs += 1
-                if not more:
+                if not may_retry:
                     self.guard.check(plan, runs)
                     raise self._refusals.make_lost_error(error) from None
-                await self.guard.settle(plan, target)
+                await self.guard.wait_for_verdict(plan, target)
                 continue
-            if self._refused(plan, target, sent.answer):
-                self.end(sent)
+            if self._is_refused(plan, target, started.answer):
+                self.release(started)
                 continue
             runs += 1
-            if sent.answer.status < SERVER_ERROR:
-                if sent.run is None:
-                    self.guard.note_answered(plan, sent.answer.facts)
-                return sent
-            if not more:
-                return sent
-            # without a repeat, the target's own answer says more than ours
-            paid = self._has_time(plan) and self.take_repeat(plan)
-            if not paid:
-                return sent
-            self.end(sent)
+            if started.answer.status < SERVER_ERROR_STATUS:
+                if started.run is None:
+                    self.guard.note_answered(plan, started.answer.facts)
+                return started
+            if not may_retry:
+                return started
+            # if no retry is possible, the target's own error answer tells the
+            # caller more than one of this entry would
+            retry_counted = self._has_time(plan) and self.take_retry(plan)
+            if not retry_counted:
+                return started
+            self.release(started)
 
     async def _find_place(
         self, plan: Plan, tried: set[str], runs: int
     ) -> Assignment | None:
         try:
             return await self._placing.find_assignment(plan, tried)
-        except NoRoomError:
-            text = "no target has room"
+        except NoCapacityError:
+            text = "no target has capacity"
             raise self._refusals.make_error(plan, runs, text) from None
-        except OverLimitError as error:
+        except RateLimitedError as error:
             raise self._refusals.make_over_limit_error(
                 plan, runs, error.rate, self.state.entries
             ) from None
@@ -185,7 +193,7 @@
         self, plan: Plan, target: Target, error: NotSentError
     ) -> None:
         if not isinstance(error, NotPermittedError):
-            self._note_silence(target)
+            self._avoid_target(target)
         self.log.warn(
             "target_not_sent",
             id=plan.request.id,
@@ -194,7 +202,7 @@
             error=repr(error),
         )
 
-    def _note_place(self, plan: Plan, place: Assignment) -> None:
+    def _log_placement(self, plan: Plan, place: Assignment) -> None:
         target, demand = place.target, plan.demand
         load = self.chooser.find_load(target.instance)
         now = self.clock.monotonic()
@@ -216,80 +224,88 @@
         left = plan.deadline - self.clock.monotonic()
         return left > plan.route.objective / 4
 
-    def take_repeat(self, plan: Plan) -> bool:
-        """Count one more send of a request, if the budget has one left."""
+    def take_retry(self, plan: Plan) -> bool:
+        """Take one retry from the budget and return whether it had one."""
         now = self.clock.monotonic()
         return self.budget.take(plan.service.name, now, self.state.entries)
 
-    def end(self, sent: Sent) -> None:
-        """Give back what an answer holds."""
-        if sent.run is not None:
-            self.runs.unwatch(sent.run)
-            sent.answer.close()
-        self.chooser.record_end(sent.target.instance)
+    def release(self, started: StartedAnswer) -> None:
+        """Stop tracking an answer and close it if it is a stream."""
+        if started.run is not None:
+            self.runs.untrack(started.run)
+            started.answer.close()
+        self.chooser.record_end(started.target.instance)
 
-    async def _try(self, plan: Plan, place: Assignment, more: bool) -> Sent:
+    async def _attempt(
+        self, plan: Plan, place: Assignment, may_retry: bool
+    ) -> StartedAnswer:
         target = place.target
         seconds = plan.deadline - self.clock.monotonic()
-        if more:
-            seconds = min(seconds, PATIENCE * plan.route.objective)
+        if may_retry:
+            seconds = min(
+                seconds, ATTEMPT_TIMEOUT_OBJECTIVES * plan.route.objective
+            )
         run = None
         if plan.demand is not None:
             run = self.runs.start(plan, target)
         self.chooser.record_start(target.instance)
-        began = self.clock.monotonic()
+        sent_at = self.clock.monotonic()
         answer: TargetAnswer | None = None
         try:
-            async with run.bound(seconds) if run else asyncio.timeout(seconds):
+            async with (
+                run.limit_wait(seconds) if run else asyncio.timeout(seconds)
+            ):
                 answer = await self.calls.send(
                     target,
                     plan.request,
-                    self._order(plan, place),
-                    Errand.START,
+                    self._build_options(plan, place),
+                    CallPurpose.START,
                     place.permit,
                 )
-                sent = await self._read(plan, target, answer, run)
+                started = await self._read_answer(plan, target, answer, run)
         except BaseException as error:
-            if isinstance(error, (LostError, AnswerCutError, TimeoutError)):
-                begun = run.began if run else None
-                self._note_silence(target)
-                self.note_lost(plan, target, began, begun, error)
+            if isinstance(
+                error, (ConnectionLostError, BrokenAnswerError, TimeoutError)
+            ):
+                first_event_at = run.first_event_at if run else None
+                self._avoid_target(target)
+                self.note_lost(plan, target, sent_at, first_event_at, error)
             if answer is not None:
                 answer.close()
             if run is not None:
-                self.runs.give_up(run)
+                self.runs.abandon(run)
             self.chooser.record_end(target.instance)
             raise
-        self._note_answer(plan, sent, began)
-        return sent
+        self._note_answer(plan, started, sent_at)
+        return started
 
-    async def _read(
+    async def _read_answer(
         self,
         plan: Plan,
         target: Target,
         answer: TargetAnswer,
         run: LiveRun | None,
-    ) -> Sent:
-        if answer.facts.crossed:
-            raise AnswerCutError("an answer to another request")
+    ) -> StartedAnswer:
+        if answer.facts.mismatched:
+            raise BrokenAnswerError("the answer belongs to another request")
         if plan.route.streaming and answer.status < 300:
-            # the head alone promises nothing: until the first event the
-            # request can still be sent elsewhere
+            # wait for the first event: until then nothing was sent to the
+            # caller, and the request can be retried elsewhere
             first = await answer.read()
             if run is None:
                 run = self.runs.start(plan, target)
-            self.runs.note_begun(run)
-            return Sent(target, answer, first, run)
+            self.runs.note_first_event(run)
+            return StartedAnswer(target, answer, first, run)
         parts = []
         while data := await answer.read():
             parts.append(data)
         answer.release()
         if run is not None:
-            self.runs.give_up(run)
-        return Sent(target, answer, b"".join(parts))
+            self.runs.abandon(run)
+        return StartedAnswer(target, answer, b"".join(parts))
 
-    def _order(self, plan: Plan, place: Assignment) -> SendOrder:
-        return SendOrder(
+    def _build_options(self, plan: Plan, place: Assignment) -> SendOptions:
+        return SendOptions(
             reservation=place.reservation,
             seconds=plan.deadline - self.clock.monotonic(),
             team=plan.team,
@@ -298,7 +314,7 @@
             once=not plan.repeatable,
         )
 
-    def _refused(
+    def _is_refused(
         self, plan: Plan, target: Target, answer: TargetAnswer
     ) -> bool:
         facts = answer.facts
@@ -317,31 +333,34 @@
         )
         return True
 
-    def _note_answer(self, plan: Plan, sent: Sent, began: float) -> None:
+    def _note_answer(
+        self, plan: Plan, started: StartedAnswer, sent_at: float
+    ) -> None:
         now = self.clock.monotonic()
-        failed = sent.answer.status >= SERVER_ERROR
+        failed = started.answer.status >= SERVER_ERROR_STATUS
         slowness = 0.0
         if plan.demand is None:
-            slowness = (now - began) / plan.route.objective
-        if self.table.is_current(sent.target):
-            instance = sent.target.instance
+            slowness = (now - sent_at) / plan.route.objective
+        if self.table.is_current(started.target):
+            instance = started.target.instance
             self.health.record_response(instance, failed, slowness, now)
 
     def note_lost(
         self,
         plan: Plan,
         target: Target,
-        sent: float,
-        begun: float | None,
+        sent_at: float,
+        first_event_at: float | None,
         error: BaseException,
     ) -> None:
-        """Note that a target broke off, or fell silent, under a request.
+        """Log and report that a target failed while it had a request.
 
-        :param plan: the request's
-        :param target: where it was sent
-        :param sent: when, in monotonic seconds
-        :param begun: when its first event came; ``None`` before that
-        :param error: how it ended
+        :param plan: the plan of the request
+        :param target: the target that it was sent to
+        :param sent_at: when it was sent, in monotonic seconds
+        :param first_event_at: when its first event arrived, in monotonic
+            seconds; ``None`` if none did
+        :param error: a timeout or the error of the connection
         """
         now = self.clock.monotonic()
         self.log.warn(
@@ -354,15 +373,19 @@
             born=target.born,
             address=target.address,
             leaving=self.table.is_leaving(target.instance),
-            sent_ms=round(1000 * (now - sent)),
-            begun_ms=None if begun is None else round(1000 * (now - begun)),
+            sent_ms=round(1000 * (now - sent_at)),
+            begun_ms=(
+                None
+                if first_event_at is None
+                else round(1000 * (now - first_event_at))
+            ),
             error=repr(error),
         )
         broke = not isinstance(error, TimeoutError)
-        self.guard.note_lost(plan, target, sent, begun, broke)
+        self.guard.note_lost(plan, target, sent_at, first_event_at, broke)
 
-    def _note_silence(self, target: Target) -> None:
+    def _avoid_target(self, target: Target) -> None:
         if self.table.is_current(target):
-            # one that has started again is not avoided for what its earlier
-            # life left unanswered
+            # a target that has restarted is not avoided because its previous
+            # incarnation did not answer
             self.chooser.avoid_unreachable(target.instance)
--- /dev/null
+++ b/packages/gateway/src/chivepier/gateway/serving/exchange.py
@@ -0,0 +1,22 @@
+"""Interface of one call to a target."""
+
+import typing
+
+from chivepier.gateway.serving.answerfacts import AnswerFacts
+
+
+class Exchange(typing.Protocol):
+    """Called right before a request is sent and when its answer arrives.
+
+    The check is repeated here since it may have become outdated while the
+    connection was established.
+    """
+
+    def begin(self) -> None:
+        """Check again whether the request may be sent.
+
+        :raises NotPermittedError: when it must not be sent
+        """
+
+    def record_head(self, facts: AnswerFacts) -> None:
+        """Record what the head of the answer reports of the target."""
--- a/packages/gateway/src/chivepier/gateway/serving/remarks.py
+++ b/packages/gateway/src/chivepier/gateway/serving/headerrecorder.py
@@ -1,4 +1,4 @@
-"""What targets say of themselves beside their answers."""
+"""Records what answer headers report about their targets."""
 
 from chivepier.gateway.eventlog import EventLog
 from chivepier.gateway.limits import Backoff
@@ -16,27 +16,28 @@
 from chivepier.gateway.targets import TargetTable
 from chivepier.types import Clock
 
-# Headers that are counted by name; a target could make up any number.
-MOST_UNREAD = 32
-# What a limit that is no number is counted as.
-UNREAD_LIMIT = "limit that is no number"
-# The same of a time in which a target wants nothing.
-UNREAD_REST = "rest that is no number"
+# Limit of unknown headers that are counted by name, as a target may send any
+# number of different ones.
+MAX_UNKNOWN_HEADERS = 32
+# Name under which a rate limit that can't be parsed is counted.
+INVALID_LIMIT = "limit that is no number"
+# Name under which a rest that can't be parsed is counted.
+INVALID_REST = "rest that is no number"
 
 
-class Remarks:
-    """Notes what each answer's head says of its target.
+class HeaderRecorder:
+    """Records rate limits, rests and departures from the heads of answers.
 
-    A header that nothing reads may be a new word that all entries need: its
-    first coming is logged, whatever target sends it.
+    An unknown header may belong to a newer protocol that entries should
+    support, so its first occurrence at any target is logged.
 
-    :param limits: what is believed of targets in need
-    :param rests: which targets get nothing for a while
-    :param leavers: which targets say that they leave
-    :param table: the targets
-    :param clock: monotonic time
-    :param log: what targets say
-    :param metrics: counts headers that nothing reads
+    :param limits: rate limits of targets
+    :param rests: targets that asked to be sent nothing for a while
+    :param leavers: targets that announced that they leave
+    :param table: the known targets
+    :param clock: monotonic clock
+    :param log: event log
+    :param metrics: counts unknown headers and rests
     """
 
     def __init__(
@@ -56,39 +57,39 @@
         self._clock = clock
         self._log = log
         self._metrics = metrics
-        self._unread: set[str] = set()
+        self._unknown_headers: set[str] = set()
 
-    def find_word(self, target: Target) -> VersionedLimit | None:
-        """Return what is believed of a target's limit."""
+    def find_limit(self, target: Target) -> VersionedLimit | None:
+        """Return the last known rate limit of a target."""
         return self._limits.find(target.instance, target.born)
 
-    def take(
+    def record(
         self, target: Target, facts: AnswerFacts, known: VersionedLimit | None
     ) -> None:
-        """Note an answer's head.
+        """Record the head of an answer.
 
-        That of another instance at the target's address says nothing of the
-        target, and may say that the other one leaves.
+        If another instance answered at the target's address, only its leaving
+        is recorded, and for that instance.
 
-        :param target: that answered
-        :param facts: read from the head
-        :param known: what was believed of its limit when it was sent to
+        :param target: the target that was called
+        :param facts: the parsed head
+        :param known: the limit that was known when the request was sent
         """
-        for name in facts.unread:
-            self._note_unread(target, name.lower())
+        for name in facts.unknown_headers:
+            self._count_unknown_header(target, name.lower())
         if facts.other_instance is not None:
             other = self._table.get(facts.other_instance)
             if facts.leaving and other is not None:
-                self._note_leaving(other)
+                self._record_leaving(other)
             return
         if facts.leaving:
-            self._note_leaving(target)
-        self._take_rest(target, facts.rest)
+            self._record_leaving(target)
+        self._record_rest(target, facts.rest)
         match facts.limit:
             case None:
                 pass
             case InvalidLimit():
-                self._note_unread(target, UNREAD_LIMIT)
+                self._count_unknown_header(target, INVALID_LIMIT)
             case limit:
                 self._limits.observe(
                     target.instance,
@@ -98,7 +99,7 @@
                     self._clock.monotonic(),
                 )
 
-    def _note_leaving(self, target: Target) -> None:
+    def _record_leaving(self, target: Target) -> None:
         if self._leavers.record(target, self._clock.monotonic()):
             self._log.info(
                 "leaving_told",
@@ -108,7 +109,7 @@
                 number=target.number,
             )
 
-    def _take_rest(self, target: Target, rest: Backoff) -> None:
+    def _record_rest(self, target: Target, rest: Backoff) -> None:
         now = self._clock.monotonic()
         instance, born = target.instance, target.born
         match rest:
@@ -128,13 +129,13 @@
                         at_rest=self._rests.count(now),
                     )
             case InvalidBackoff():
-                self._note_unread(target, UNREAD_REST)
+                self._count_unknown_header(target, INVALID_REST)
 
-    def _note_unread(self, target: Target, name: str) -> None:
-        if name not in self._unread:
-            if len(self._unread) >= MOST_UNREAD:
+    def _count_unknown_header(self, target: Target, name: str) -> None:
+        if name not in self._unknown_headers:
+            if len(self._unknown_headers) >= MAX_UNKNOWN_HEADERS:
                 return
-            self._unread.add(name)
+            self._unknown_headers.add(name)
             self._log.warn(
                 "header_unread", header=name, target=target.instance
             )
@@ -142,5 +143,5 @@
 
 
 def describe_rest(rest: Backoff) -> float | None:
-    """Return the seconds that a target asked for, for the log."""
+    """Return the length of a rest in seconds, for the event log."""
     return rest.seconds if isinstance(rest, RequestedBackoff) else None
--- a/packages/gateway/src/chivepier/gateway/serving/liverun.py
+++ b/packages/gateway/src/chivepier/gateway/serving/liverun.py
@@ -1,4 +1,4 @@
-"""A generation that is being relayed."""
+"""State of a generation that is being relayed."""
 
 import asyncio
 import collections.abc
@@ -12,91 +12,94 @@
 from chivepier.gateway.serving.plan import Plan
 from chivepier.gateway.targets import Target
 
-# A copy to another availability zone takes this many times as long.
-FAR_FACTOR = 2.0
-# Seconds that the calls of one move take besides: two copies are asked for
-# and answered, some milliseconds each, and a target is sometimes slow.
-CALL_SECONDS = 0.06
+# Factor by which a copy takes longer to another availability zone.
+CROSS_ZONE_COPY_FACTOR = 2.0
+# Seconds that the calls of one migration add to the copying: two copies are
+# requested and answered in some milliseconds each, but targets may be slow.
+MOVE_CALLS_SECONDS = 0.06
 
 
 @attrs.define(eq=False)
 class LiveRun:
-    """Where a generation runs, and where it goes on when it must leave.
-
-    :param plan: the request's
-    :param target: where it runs
-    :param counted: memory that other entries are told of: what it takes now
-        and within the next seconds
-    :param reading: tokens that its target reads in before its first event
-    :param ahead: tokens that are read there until its first event, its own
-        included
-    :param sent: when it was sent there, in monotonic seconds
-    :param heard: when anything last came from its target, in monotonic
-        seconds; when it was sent there until then
-    :param moves: whether it is moved when its target leaves: one that may be
-        run anew is short, and better left to end or to be run again
-    :param number: of the last event that the caller has
-    :param began: when its first event came from this target, in monotonic
+    """A generation at its current target and the state of its migration.
+
+    :param plan: the plan of the request
+    :param target: the target that runs it
+    :param counted_tokens: KV cache reported to other entries, in tokens: the
+        current size and the growth of the next seconds
+    :param prefill_tokens: tokens that its target prefills for it
+    :param prefill_backlog: tokens that its target prefills before its first
+        event, its own included
+    :param sent_at: when it was sent to its target, in monotonic seconds
+    :param heard_at: when its target last sent anything, in monotonic seconds;
+        initially ``sent_at``
+    :param movable: whether it is migrated when its target leaves. One that may
+        be rerun is short: it is left to finish, or to be rerun.
+    :param last_event_number: number of the last event sent to the caller
+    :param first_event_at: when its target sent the first event, in monotonic
         seconds; ``None`` until then
-    :param handoff: set while its memory is being moved elsewhere
-    :param stopped: whether its target was told to stop it for a move
-    :param doubtful: whether the order to stop may not have come
-    :param moved: whether it has gone on at another target
-    :param ended: whether nothing is relayed any more
-    :param lost: set when its target has broken off
-    :param broken: whether its target has started again and lost it
-    :param limit: bounds what is being waited for from its target
+    :param handoff: result of the migration in progress, if any
+    :param stopped: whether its target was told to stop it for a migration
+    :param stop_uncertain: whether the order to stop may not have arrived
+    :param moved: whether it has been resumed at another target
+    :param ended: whether its relaying has ended
+    :param lost: set when its target has ended the stream
+    :param aborted: whether :meth:`abort` was called at its current target
+    :param wait_timeout: timeout of the current wait for its target
     """
 
     plan: Plan
     target: Target
-    counted: int
-    reading: int = 0
-    ahead: int = 0
-    sent: float = 0.0
-    heard: float = 0.0
-    moves: bool = False
-    number: int = 0
-    began: float | None = None
+    counted_tokens: int
+    prefill_tokens: int = 0
+    prefill_backlog: int = 0
+    sent_at: float = 0.0
+    heard_at: float = 0.0
+    movable: bool = False
+    last_event_number: int = 0
+    first_event_at: float | None = None
     handoff: asyncio.Future[Handoff | None] | None = None
     stopped: bool = False
-    doubtful: bool = False
+    stop_uncertain: bool = False
     moved: bool = False
     ended: bool = False
     lost: asyncio.Event = attrs.field(factory=asyncio.Event)
-    broken: bool = False
-    limit: asyncio.Timeout | None = None
+    aborted: bool = False
+    wait_timeout: asyncio.Timeout | None = None
 
     @property
     def request(self) -> CallerRequest:
-        """The caller's."""
+        """The request of the caller."""
         return self.plan.request
 
     @property
     def service(self) -> Service:
-        """Whose targets may run it."""
+        """The service whose targets may run it."""
         return self.plan.service
 
     @property
-    def held(self) -> int:
-        """Memory that it takes now, in tokens."""
+    def held_tokens(self) -> int:
+        """Current size of its KV cache, in tokens."""
         prompt = self.request.prompt
         engine = self.service.engine
         if prompt is None or engine is None:
-            return self.counted
-        return prompt.tokens + self.number * engine.event_tokens
+            return self.counted_tokens
+        return prompt.tokens + self.last_event_number * engine.event_tokens
 
-    def copy_seconds(self) -> float:
-        """Return how long its memory takes to another availability zone."""
+    def estimate_copy_seconds(self) -> float:
+        """Return the seconds to copy its KV cache to another zone."""
         engine = self.service.engine
         if engine is None:
             return 0.0
-        return FAR_FACTOR * self.held * engine.token_seconds + CALL_SECONDS
+        return (
+            CROSS_ZONE_COPY_FACTOR * self.held_tokens * engine.token_seconds
+            + MOVE_CALLS_SECONDS
+        )
 
-    async def await_loss(self, seconds: float) -> None:
-        """Return after a time, or at once when its target breaks off.
+    async def wait_for_loss(self, seconds: float) -> None:
+        """Wait until its target has ended the stream or a time is over.
 
-        :param seconds: at most
+        :param seconds: longest wait, in seconds
         """
         try:
             async with asyncio.timeout(seconds):
@@ -105,52 +108,53 @@
             return
 
     @contextlib.asynccontextmanager
-    async def bound(
+    async def limit_wait(
         self, seconds: float | None
     ) -> collections.abc.AsyncIterator[None]:
-        """Bound a wait for its target, which :meth:`break_off` ends too.
+        """Limit a wait for its target, which :meth:`abort` ends too.
 
-        :param seconds: at most; ``None`` for no other bound
-        :raises TimeoutError: when it is over or broken off
+        :param seconds: timeout in seconds; ``None`` for no timeout
+        :raises TimeoutError: after the timeout, or when it is aborted
         """
-        if self.broken:
+        if self.aborted:
             raise TimeoutError
         try:
-            async with asyncio.timeout(seconds) as self.limit:
+            async with asyncio.timeout(seconds) as self.wait_timeout:
                 yield
         finally:
-            self.limit = None
+            self.wait_timeout = None
 
-    def break_off(self) -> None:
-        """Note that its target has started again and knows nothing of it.
+    def abort(self) -> None:
+        """End the current wait for its target, and all later ones at once.
 
-        Behind a cut the connection to the earlier life stays open and says
-        nothing more; its caller would wait until it leaves by itself.
+        Used when the target has restarted or gone, among others. After a
+        network partition the connection to the previous incarnation may stay
+        open and silent; the caller would wait until its deadline.
         """
-        self.broken = True
+        self.aborted = True
         self.lost.set()
-        limit = self.limit
-        if limit is not None and not limit.expired():
-            limit.reschedule(asyncio.get_running_loop().time())
+        timeout = self.wait_timeout
+        if timeout is not None and not timeout.expired():
+            timeout.reschedule(asyncio.get_running_loop().time())
 
-    def go_on(self, target: Target, now: float) -> None:
-        """Note that it goes on at another target.
+    def resume_at(self, target: Target, now: float) -> None:
+        """Record that it has been resumed at another target.
 
-        :param target: that has answered
-        :param now: monotonic seconds
+        :param target: the target that has answered
+        :param now: the current time, in monotonic seconds
         """
         self.target = target
-        self.sent = self.heard = now
+        self.sent_at = self.heard_at = now
         self.moved = True
-        # its memory comes with it
-        self.reading = 0
-        self.began = None
+        # its KV cache is copied, so nothing is prefilled
+        self.prefill_tokens = 0
+        self.first_event_at = None
         self.handoff = None
-        self.stopped = self.doubtful = False
-        self.broken = False
+        self.stopped = self.stop_uncertain = False
+        self.aborted = False
         self.lost.clear()
 
 
-def milliseconds(seconds: float) -> int:
-    """Return seconds as whole milliseconds, as nodes tell each other."""
+def to_milliseconds(seconds: float) -> int:
+    """Convert seconds to whole milliseconds, the unit of node messages."""
     return round(1000 * seconds)
--- a/packages/gateway/src/chivepier/gateway/serving/mover.py
+++ b/packages/gateway/src/chivepier/gateway/serving/mover.py
@@ -7,12 +7,12 @@
 from chivepier.gateway.eventlog import EventLog
 from chivepier.gateway.metrics import Metrics
 from chivepier.gateway.serving.copyturns import CopyTurns
-from chivepier.gateway.serving.guard import Guard
+from chivepier.gateway.serving.crashguard import CrashGuard
 from chivepier.gateway.serving.handoff import Handoff
+from chivepier.gateway.serving.kvorigin import KvOrigin
 from chivepier.gateway.serving.liverun import LiveRun
 from chivepier.gateway.serving.moveoutcome import MoveOutcome
 from chivepier.gateway.serving.moveresult import MoveResult
-from chivepier.gateway.serving.origin import Origin
 from chivepier.gateway.serving.targetcalls import TargetCalls
 from chivepier.gateway.targets import Liveness
 from chivepier.gateway.targets import LoadBalancer
@@ -63,7 +63,7 @@
         chooser: LoadBalancer,
         table: TargetTable,
         board: LoadTracker,
-        guard: Guard,
+        guard: CrashGuard,
         clock: Clock,
         log: EventLog,
         metrics: Metrics,
@@ -103,7 +103,11 @@
         if target.state is TargetState.READY or before is target.state:
             return
         runs = list(self._runs.get(target.instance, ()))
-        due = {run for run in runs if run.moves and run.began is not None}
+        due = {
+            run
+            for run in runs
+            if run.movable and run.first_event_at is not None
+        }
         if due:
             self._turns.announce(target.instance, due)
         for run in runs:
@@ -115,7 +119,7 @@
         :param target: the target as known before the restart
         """
         for run in list(self._runs.get(target.instance, ())):
-            run.break_off()
+            run.abort()
 
     async def watch_silent_targets(self) -> None:
         """Check for silent targets periodically, until cancelled."""
@@ -134,21 +138,21 @@
         now = self._clock.monotonic()
         for name, runs in list(self._runs.items()):
             stalled = {
-                run for run in runs if now - run.heard >= STALLED_SECONDS
+                run for run in runs if now - run.heard_at >= STALLED_SECONDS
             }
             if not stalled or not await self._is_gone(stalled):
                 continue
             self._log.warn("target_gone", target=name, runs=len(stalled))
             for run in stalled:
-                run.break_off()
+                run.abort()
 
     async def _is_gone(self, stalled: set[LiveRun]) -> bool:
         """Return whether the target of stalled generations has failed."""
         now = self._clock.monotonic()
-        last = max(stalled, key=lambda run: run.heard)
+        last = max(stalled, key=lambda run: run.heard_at)
         if not self._table.is_silent(last.target, now):
             return False
-        if now - last.heard >= UNREACHABLE_TIMEOUT_SECONDS:
+        if now - last.heard_at >= UNREACHABLE_TIMEOUT_SECONDS:
             return True
         if not self._chooser.is_zone_open(last.target):
             return False
@@ -164,15 +168,15 @@
         :param digest: digest of the request
         """
         for run in [run for runs in self._runs.values() for run in runs]:
-            if run.began is None and run.plan.digest == digest:
-                run.break_off()
+            if run.first_event_at is None and run.plan.digest == digest:
+                run.abort()
 
     def start_move(self, run: LiveRun) -> None:
         """Start to move a generation, unless it is already being moved."""
         engine = run.service.engine
         if run.handoff is not None or engine is None or not engine.moves:
             return
-        if not run.moves or self._guard.holds(run.plan):
+        if not run.movable or self._guard.is_held(run.plan):
             return
         run.handoff = asyncio.get_running_loop().create_future()
         self._track_task(asyncio.create_task(self._move(run, run.handoff)))
@@ -211,7 +215,7 @@
         """
         source = run.target.instance
         while not run.ended and run.target.instance == source:
-            if run.began is not None and self._choose_destination(
+            if run.first_event_at is not None and self._choose_destination(
                 run, {source}
             ):
                 async with self._turns.take(source, run):
@@ -219,7 +223,7 @@
                 if found is not None:
                     return found
             self._turns.withdraw(source, run)
-            await run.await_loss(POLL_INTERVAL_SECONDS)
+            await run.wait_for_loss(POLL_INTERVAL_SECONDS)
             if run.lost.is_set():
                 return None
         return None
@@ -233,7 +237,7 @@
             tried.add(target.instance)
             # many runs choose a destination at the same time: without this
             # they would all choose the same least-loaded one
-            with self._reserve_load(run.counted, target):
+            with self._reserve_load(run.counted_tokens, target):
                 outcome, found = await self._copy_to(run, source, target)
             if found is not None or outcome is not MoveOutcome.NO_ROOM:
                 return found
@@ -256,9 +260,9 @@
         moved = await self._request_copy(run, source, target, last=False)
         if moved.outcome is not MoveOutcome.COPIED:
             return moved.outcome, None
-        copy = Handoff(target, Origin(source.address, moved.handle))
+        copy = Handoff(target, KvOrigin(source.address, moved.handle))
         moved = await self._stop_and_copy(run, source, target)
-        origin = Origin(source.address, moved.handle)
+        origin = KvOrigin(source.address, moved.handle)
         match moved.outcome:
             case MoveOutcome.COPIED:
                 return moved.outcome, Handoff(target, origin)
@@ -271,7 +275,7 @@
             case MoveOutcome.FAILED:
                 # the source may have failed meanwhile: the first copy holds
                 # all but the last few tokens
-                run.doubtful = True
+                run.stop_uncertain = True
                 return moved.outcome, copy
             case _:
                 # the order to stop was refused or never sent
@@ -294,7 +298,7 @@
             if moved.outcome is not MoveOutcome.NOT_SENT:
                 return moved
             run.stopped = False
-            await run.await_loss(POLL_INTERVAL_SECONDS)
+            await run.wait_for_loss(POLL_INTERVAL_SECONDS)
             if run.lost.is_set() or self._clock.monotonic() >= last:
                 return moved
 
@@ -331,7 +335,7 @@
         return self._chooser.choose_destination(
             run.service.name,
             engine,
-            run.counted,
+            run.counted_tokens,
             run.target,
             tried,
             run.plan.regions,
--- /dev/null
+++ b/packages/gateway/src/chivepier/gateway/serving/runtracker.py
@@ -0,0 +1,140 @@
+"""Tracks the generations that this entry relays."""
+
+from chivepier.gateway.serving.liverun import LiveRun
+from chivepier.gateway.serving.mover import Mover
+from chivepier.gateway.serving.plan import Plan
+from chivepier.gateway.targets import DecodeEstimator
+from chivepier.gateway.targets import Demand
+from chivepier.gateway.targets import LoadTracker
+from chivepier.gateway.targets import NEAR_TERM_OUTPUT_TOKENS
+from chivepier.gateway.targets import PrefillEstimator
+from chivepier.gateway.targets import Target
+from chivepier.types import Clock
+
+
+class RunTracker:
+    """Updates the load of targets and registers generations for migration.
+
+    :param board: load of each target
+    :param mover: migrates generations off targets that leave
+    :param pace: estimator of the prefill time
+    :param clock: monotonic clock
+    """
+
+    def __init__(
+        self,
+        board: LoadTracker,
+        mover: Mover,
+        pace: PrefillEstimator,
+        clock: Clock,
+    ):
+        self._reading_pace = pace
+        self._step_pace = DecodeEstimator()
+        self._board = board
+        self._mover = mover
+        self._clock = clock
+
+    def start(self, plan: Plan, target: Target) -> LiveRun:
+        """Start tracking a request that is sent to a target.
+
+        :param plan: the plan of the request
+        :param target: the target that it is sent to
+        :returns: the run, to be passed to :meth:`untrack`
+        """
+        demand = plan.demand or Demand(prompt=0, output=0)
+        now = self._clock.monotonic()
+        load = self._board.get_total(target.instance, now)
+        run = LiveRun(
+            plan,
+            target,
+            demand.near_term_tokens,
+            prefill_tokens=demand.prompt,
+            prefill_backlog=load.reading + demand.prompt,
+            sent_at=now,
+            heard_at=now,
+            movable=not plan.repeatable,
+        )
+        self.track(run)
+        return run
+
+    def track(self, run: LiveRun) -> None:
+        """Add a generation to the load of its target and to the mover."""
+        self._count(run, 1)
+        self._mover.add(run)
+
+    def untrack(self, run: LiveRun) -> None:
+        """Remove a generation from the load of its target and the mover."""
+        self._count(run, -1)
+        self._mover.remove(run)
+
+    def abandon(self, run: LiveRun) -> None:
+        """Stop tracking a generation that is not resumed, and mark it ended.
+
+        Otherwise a migration would ask its source until the process ends: a
+        run that failed before its first event looks like one that waits.
+        """
+        self.untrack(run)
+        run.ended = True
+        run.lost.set()
+
+    def note_first_event(self, run: LiveRun) -> None:
+        """Record the time of the first event and end the prefill load."""
+        if run.first_event_at is None:
+            run.first_event_at = self._clock.monotonic()
+            if run.prefill_tokens:
+                seconds = run.first_event_at - run.sent_at
+                self._reading_pace.record(
+                    run.service.name, run.prefill_backlog, seconds
+                )
+            self._board.adjust_own(
+                run.target.instance, reading=-run.prefill_tokens
+            )
+
+    def estimate_seconds(self, plan: Plan) -> float:
+        """Return the longest time that a generation takes, in seconds.
+
+        :param plan: the plan of the request; 0 for other requests than
+            generations
+        """
+        prompt = plan.request.prompt
+        if prompt is None:
+            return 0.0
+        service = plan.service.name
+        reading = self._reading_pace.estimate(service, prompt.tokens)
+        return reading + self._step_pace.estimate(service, prompt.max_output)
+
+    def note_complete(self, run: LiveRun) -> None:
+        """Update the estimate of the decoding speed from a complete run.
+
+        Runs that were resumed at another target are left out.
+        """
+        engine = run.service.engine
+        if (
+            engine is not None
+            and run.first_event_at is not None
+            and not run.moved
+        ):
+            tokens = run.last_event_number * engine.event_tokens
+            seconds = self._clock.monotonic() - run.first_event_at
+            self._step_pace.record(run.service.name, tokens, seconds)
+
+    def note_growth(self, run: LiveRun) -> None:
+        """Report the growth of a generation's KV cache in larger steps."""
+        run.heard_at = self._clock.monotonic()
+        if (
+            run.held_tokens + NEAR_TERM_OUTPUT_TOKENS // 2
+            <= run.counted_tokens
+        ):
+            return
+        grown = run.held_tokens + NEAR_TERM_OUTPUT_TOKENS - run.counted_tokens
+        run.counted_tokens += grown
+        self._board.adjust_own(run.target.instance, tokens=grown)
+
+    def _count(self, run: LiveRun, sign: int) -> None:
+        waits = run.first_event_at is None
+        self._board.adjust_own(
+            run.target.instance,
+            runs=sign,
+            tokens=sign * run.counted_tokens,
+            reading=sign * run.prefill_tokens if waits else 0,
+        )
--- /dev/null
+++ b/packages/gateway/src/chivepier/gateway/serving/startedanswer.py
@@ -0,0 +1,23 @@
+"""An answer whose head has arrived."""
+
+import attrs
+
+from chivepier.gateway.serving.liverun import LiveRun
+from chivepier.gateway.serving.targetanswer import TargetAnswer
+from chivepier.gateway.targets import Target
+
+
+@attrs.define
+class StartedAnswer:
+    """The answer of a target and the part of its body read so far.
+
+    :param target: the target that answers
+    :param answer: the head, and access to the rest of the body
+    :param body: the whole body, or the first bytes of a stream
+    :param run: the tracked run of a stream, ``None`` for other answers
+    """
+
+    target: Target
+    answer: TargetAnswer
+    body: bytes
+    run: LiveRun | None = None
--- a/packages/gateway/src/chivepier/gateway/serving/targetassigner.py
+++ b/packages/gateway/src/chivepier/gateway/serving/targetassigner.py
@@ -3,12 +3,12 @@
 from chivepier.gateway.eventlog import EventLog
 from chivepier.gateway.permits import Claim
 from chivepier.gateway.serving.assignment import Assignment
+from chivepier.gateway.serving.crashguard import CrashGuard
 from chivepier.gateway.serving.errors import AllAtRestError
-from chivepier.gateway.serving.errors import NoRoomError
+from chivepier.gateway.serving.errors import NoCapacityError
 from chivepier.gateway.serving.errors import NotPermittedError
 from chivepier.gateway.serving.errors import NotSentError
-from chivepier.gateway.serving.errors import OverLimitError
-from chivepier.gateway.serving.guard import Guard
+from chivepier.gateway.serving.errors import RateLimitedError
 from chivepier.gateway.serving.plan import Plan
 from chivepier.gateway.serving.queueticket import QueueTicket
 from chivepier.gateway.serving.sendgate import SendGate
@@ -66,7 +66,7 @@
         health: TargetHealth,
         queues: QueueTracker,
         calls: TargetCalls,
-        guard: Guard,
+        guard: CrashGuard,
         gate: SendGate,
         clock: Clock,
         log: EventLog,
@@ -85,21 +85,20 @@
     ) -> Assignment | None:
         """Choose a target, with a reservation if it supports them.
 
-        :param plan: the plan of the request
-        :param tried: instances that must not be chosen
-        :returns: the assignment; ``None`` if no target is left or the request
-            is held back
-        :raises NoRoomError: if no target had room before the wait limit
-        :raises OverLimitError: if all targets are rate-limited and can't
-            accept the request in time
-        :raises AllAtRestError: if all targets are backing off for too long
+        :param plan: the request's
+        :param tried: instances that must not be picked
+        :returns: the place; ``None`` when no target is left, or the request
+            must not be sent any more
+        :raises NoCapacityError: when none had room for too long
+        :raises RateLimitedError: when all are in need and take no more
+        :raises AllAtRestError: when all are at rest for too long
         """
         engine = plan.service.engine
         if plan.demand is None or engine is None or not engine.reserve_seconds:
             await self._await_backoffs(plan)
             return await self._assign_unreserved(plan, tried)
         with QueueTicket(self._queues, plan.service.name) as ticket:
-            while not self._guard.holds(plan):
+            while not self._guard.is_held(plan):
                 await self._await_backoffs(plan, ticket)
                 if not self._rank_targets(plan, tried):
                     break
@@ -107,14 +106,14 @@
                 all_limited = self._check_rate_limits(plan)
                 if stage is WaitStage.OVER:
                     self._log.info("no_room", id=plan.request.id)
-                    raise NoRoomError
+                    raise NoCapacityError
                 for target in self._select_targets(plan, stage, tried):
                     place = await self._try_target(plan, target, all_limited)
                     if place is not None:
                         return place
                 ticket.set_rank(compute_rank(plan, stage))
                 await self._clock.sleep(ROUND_INTERVAL_SECONDS)
-                await self._gate.settle()
+                await self._gate.wait_fresh()
         return None
 
     async def _await_backoffs(
@@ -159,7 +158,7 @@
                 return place
         rate = self._sum_rate_limits(plan)
         if rate is not None:
-            raise OverLimitError(rate)
+            raise RateLimitedError(rate)
         return None
 
     async def _permit_first(
@@ -195,7 +194,7 @@
         :returns: requests per second; ``None`` unless every target is
             rate-limited
         """
-        if not self._gate.knows_limits:
+        if not self._gate.has_limits:
             return None
         # includes targets being avoided, which announce no limit
         found = self._chooser.select(plan.service.name, plan.regions)
@@ -246,10 +245,9 @@
     def _check_rate_limits(self, plan: Plan) -> bool:
         """Reject a request that rate-limited targets can't accept in time.
 
-        :param plan: the plan of the request
-        :returns: whether all targets are rate-limited
-        :raises OverLimitError: if all targets are rate-limited and the
-            requests ahead use up their rate until the request's latest start
+        :returns: whether all targets are in need
+        :raises RateLimitedError: when all are in need, and what goes before
+            the request takes them too long
         """
         rate = self._sum_rate_limits(plan)
         if rate is None:
@@ -260,7 +258,7 @@
         ahead = self._queues.count_ahead(plan.service.name, rank, now)
         seconds = self._compute_latest_start(plan) - now
         if ahead > rate * seconds:
-            raise OverLimitError(rate)
+            raise RateLimitedError(rate)
         return True
 
     def _classify_wait(self, plan: Plan) -> WaitStage:
--- a/packages/gateway/src/chivepier/gateway/serving/targetcalls.py
+++ b/packages/gateway/src/chivepier/gateway/serving/targetcalls.py
@@ -1,64 +1,67 @@
-"""Every way to reach a target."""
+"""Calls to targets, checked by the send gate."""
 
 from chivepier.gateway.permits import Permit
 from chivepier.gateway.serving.callerrequest import CallerRequest
-from chivepier.gateway.serving.errand import Errand
+from chivepier.gateway.serving.callpurpose import CallPurpose
 from chivepier.gateway.serving.errors import NotPermittedError
+from chivepier.gateway.serving.headerrecorder import HeaderRecorder
 from chivepier.gateway.serving.moveoutcome import MoveOutcome
 from chivepier.gateway.serving.moveresult import MoveResult
-from chivepier.gateway.serving.remarks import Remarks
 from chivepier.gateway.serving.sendgate import SendGate
-from chivepier.gateway.serving.sendorder import SendOrder
+from chivepier.gateway.serving.sendoptions import SendOptions
 from chivepier.gateway.serving.targetanswer import TargetAnswer
-from chivepier.gateway.serving.targetcontact import TargetContact
-from chivepier.gateway.serving.targetport import TargetPort
+from chivepier.gateway.serving.targetclient import TargetClient
+from chivepier.gateway.serving.targetexchange import TargetExchange
 from chivepier.gateway.targets import Liveness
 from chivepier.gateway.targets import Target
 
 
 class TargetCalls:
-    """Asks before each call whether it may go, and hears each answer.
+    """Checks each call before it is made and records the answer's head.
 
-    :param port: the protocol towards targets
-    :param gate: knows what may be sent where
-    :param remarks: notes what answers say of their targets
+    :param client: client for the protocol of targets
+    :param gate: decides what may be sent to which target
+    :param recorder: records what answer heads report
     """
 
-    def __init__(self, port: TargetPort, gate: SendGate, remarks: Remarks):
-        self._port = port
+    def __init__(
+        self, client: TargetClient, gate: SendGate, recorder: HeaderRecorder
+    ):
+        self._client = client
         self._gate = gate
-        self._remarks = remarks
+        self._recorder = recorder
 
     async def send(
         self,
         target: Target,
         request: CallerRequest,
-        order: SendOrder,
-        errand: Errand,
+        options: SendOptions,
+        purpose: CallPurpose,
         permit: Permit = Permit(),
     ) -> TargetAnswer:
         """Send a request and return the head of its answer.
 
-        :raises NotPermittedError: when nothing may be sent there now
-        :raises NotSentError: when it never left this process
-        :raises LostError: when no answer came
+        :raises NotPermittedError: when the target must not be called now
+        :raises NotSentError: when the request was not sent
+        :raises ConnectionLostError: when the connection broke before an
+            answer
         """
-        contact = self._open(target, errand, permit)
-        return await self._port.send(target, request, order, contact)
+        exchange = self._open_exchange(target, purpose, permit)
+        return await self._client.send(target, request, options, exchange)
 
     async def reserve(
         self, target: Target, tokens: int, seconds: float
     ) -> str | None:
-        """Reserve a slot and memory before a request is sent.
+        """Reserve a slot and KV cache before a request is sent.
 
-        :param tokens: of memory
-        :param seconds: for which it is kept unused
-        :returns: the reservation's name; ``None`` when there is no room
-        :raises NotPermittedError: when nothing may be sent there now
+        :param tokens: size of the KV cache in tokens
+        :param seconds: how long the reservation is kept unused
+        :returns: identifier of the reservation; ``None`` without capacity
+        :raises NotPermittedError: when the target must not be called now
         :raises NotSentError: when the target can't be reached
         """
-        contact = self._open(target, Errand.START)
-        return await self._port.reserve(target, tokens, seconds, contact)
+        exchange = self._open_exchange(target, CallPurpose.START)
+        return await self._client.reserve(target, tokens, seconds, exchange)
 
     async def move(
         self,
@@ -68,46 +71,46 @@
         last: bool,
         seconds: float,
     ) -> MoveResult:
-        """Copy a live generation's memory to another target.
+        """Copy the KV cache of a running generation to another target.
 
-        :param last: stop the run first
-        :param seconds: to wait for the copy
+        :param last: whether to stop the run first
+        :param seconds: how long to wait for the copy
         """
         try:
-            contact = self._open(source, Errand.ORDER)
-            return await self._port.move(
-                source, request_id, destination, last, seconds, contact
+            exchange = self._open_exchange(source, CallPurpose.CONTROL)
+            return await self._client.move(
+                source, request_id, destination, last, seconds, exchange
             )
         except NotPermittedError:
             return MoveResult(MoveOutcome.HELD_BACK)
 
     async def drop(self, target: Target, handle: str) -> bool:
-        """Free a copy that no generation goes on from.
+        """Free a copy that no generation is resumed from.
 
-        :param target: that keeps it
-        :param handle: the copy's name
-        :returns: whether the target says that it is free
+        :param target: the target that holds the copy
+        :param handle: identifier of the copy
+        :returns: whether the target confirmed that the copy is freed
         """
         try:
-            contact = self._open(target, Errand.ORDER)
-            return await self._port.drop(target, handle, contact)
+            exchange = self._open_exchange(target, CallPurpose.CONTROL)
+            return await self._client.drop(target, handle, exchange)
         except NotPermittedError:
-            # the target frees it by itself some seconds later
+            # the target frees an unused copy by itself after some seconds
             return False
 
     async def probe(self, target: Target) -> Liveness:
-        """Look whether anything listens at a target's address.
+        """Check whether anything listens at the address of a target.
 
-        :param target: that a request was lost at
+        :param target: the target at which a request was lost
         """
-        if not self._gate.may_look(target):
+        if not self._gate.may_probe(target):
             return Liveness.UNKNOWN
-        return await self._port.probe(target)
-
-    def _open(
-        self, target: Target, errand: Errand, permit: Permit = Permit()
-    ) -> TargetContact:
-        # without this a connection would be made to a target for nothing
-        self._gate.check(target, errand, permit)
-        gate, remarks = self._gate, self._remarks
-        return TargetContact(target, errand, permit, gate, remarks)
+        return await self._client.probe(target)
+
+    def _open_exchange(
+        self, target: Target, purpose: CallPurpose, permit: Permit = Permit()
+    ) -> TargetExchange:
+        # checked here already, so that no connection is made in vain
+        self._gate.check(target, purpose, permit)
+        gate, recorder = self._gate, self._recorder
+        return TargetExchange(target, purpose, permit, gate, recorder)
--- /dev/null
+++ b/packages/gateway/src/chivepier/gateway/serving/targetexchange.py
@@ -0,0 +1,49 @@
+"""One call to a target: the request and the head of its answer."""
+
+from chivepier.gateway.limits import VersionedLimit
+from chivepier.gateway.permits import Permit
+from chivepier.gateway.serving.answerfacts import AnswerFacts
+from chivepier.gateway.serving.callpurpose import CallPurpose
+from chivepier.gateway.serving.headerrecorder import HeaderRecorder
+from chivepier.gateway.serving.sendgate import SendGate
+from chivepier.gateway.targets import Target
+
+
+class TargetExchange:
+    """Checks a call before its first byte and records the answer's head.
+
+    :param target: the target that is called
+    :param purpose: why it is called
+    :param permit: the permit to call it
+    :param gate: decides what may be sent to which target
+    :param recorder: records what answer heads report
+    """
+
+    def __init__(
+        self,
+        target: Target,
+        purpose: CallPurpose,
+        permit: Permit,
+        gate: SendGate,
+        recorder: HeaderRecorder,
+    ):
+        self._target = target
+        self._purpose = purpose
+        self._permit = permit
+        self._gate = gate
+        self._recorder = recorder
+        self._known_limit: VersionedLimit | None = None
+
+    def begin(self) -> None:
+        """Check again, now that the connection is established.
+
+        :raises NotPermittedError: when the target must not be called now
+        """
+        self._gate.check(self._target, self._purpose, self._permit)
+        self._gate.note_sent(self._target)
+        self._known_limit = self._recorder.find_limit(self._target)
+
+    def record_head(self, facts: AnswerFacts) -> None:
+        """Record what the head of the answer reports of the target."""
+        if not facts.mismatched:
+            self._recorder.record(self._target, facts, self._known_limit)
