--- a/packages/gateway/src/chivepier/gateway/control/__init__.py
+++ b/packages/gateway/src/chivepier/gateway/control/__init__.py
@@ -2,10 +2,10 @@
 
 from chivepier.gateway.control.configstore import ConfigStore
 from chivepier.gateway.control.entrydirectory import EntryDirectory
-from chivepier.gateway.control.operatorapi import give_order
+from chivepier.gateway.control.membership import Membership
 from chivepier.gateway.control.operatorapi import OperatorApi
+from chivepier.gateway.control.operatorapi import submit_order
 from chivepier.gateway.control.registry import Registry
-from chivepier.gateway.control.seats import Seats
 from chivepier.gateway.control.voter import Voter
 
 __all__ = [
@@ -13,7 +13,7 @@
     "EntryDirectory",
     "OperatorApi",
     "Registry",
-    "Seats",
+    "Membership",
     "Voter",
-    "give_order",
+    "submit_order",
 ]
--- a/packages/gateway/src/chivepier/gateway/control/founding.py
+++ b/packages/gateway/src/chivepier/gateway/control/bootstrap.py
@@ -15,7 +15,7 @@
 IDENTITY_FILE = "identity"
 
 
-async def open_folder(
+async def open_data_dir(
     settings: VoterSettings,
 ) -> tuple[Identity, DiskStorage]:
     """Open the data folder, and found the cluster where that is due.
@@ -28,13 +28,15 @@
     :param settings: this voter's
     :returns: its identity, and its storage
     """
-    fresh = not (settings.folder / IDENTITY_FILE).exists()
-    founds = fresh and settings.found and settings.address in settings.seeds
-    if not founds:
+    is_new = not (settings.folder / IDENTITY_FILE).exists()
+    bootstraps = (
+        is_new and settings.found and settings.address in settings.seeds
+    )
+    if not bootstraps:
         # the log is made before the identity, which says that it was there
-        storage = DiskStorage(settings.folder, used=not fresh)
+        storage = DiskStorage(settings.folder, used=not is_new)
         return load_identity(settings.folder), storage
-    voters = [Voter(name_founder(a), a) for a in sorted(settings.seeds)]
+    voters = [Voter(derive_node_name(a), a) for a in sorted(settings.seeds)]
     storage = DiskStorage(settings.folder)
     if not storage.entries:
         # a crash may have come between this entry and the identity
@@ -43,16 +45,16 @@
         await storage.sync()
         await storage.save_vote(1, "")
     identity = Identity(
-        name_founder(settings.address), name_cluster(settings.seeds)
+        derive_node_name(settings.address), derive_cluster_id(settings.seeds)
     )
     save_identity(settings.folder, identity)
     return identity, storage
 
 
-def name_founder(address: str) -> str:
+def derive_node_name(address: str) -> str:
     """Name a founding voter.
 
-    >>> name_founder("10.0.0.1:7200") == name_founder("10.0.0.1:7200")
+    >>> derive_node_name("10.0.0.1:7200") == derive_node_name("10.0.0.1:7200")
     True
 
     :param address: its peer address
@@ -61,7 +63,7 @@
     return "f" + hashlib.sha256(address.encode()).hexdigest()[:8]
 
 
-def name_cluster(seeds: tuple[str, ...]) -> str:
+def derive_cluster_id(seeds: tuple[str, ...]) -> str:
     """Name a cluster after its founders.
 
     :param seeds: their peer addresses
--- a/packages/gateway/src/chivepier/gateway/control/configstore.py
+++ b/packages/gateway/src/chivepier/gateway/control/configstore.py
@@ -5,7 +5,7 @@
 
 import cbor2
 
-from chivepier.gateway.control.leaderlink import LeaderLink
+from chivepier.gateway.control.leaderclient import LeaderClient
 from chivepier.gateway.control.storedconfig import StoredConfig
 from chivepier.gateway.eventlog import EventLog
 from chivepier.gateway.messages import ConfigAnswer
@@ -22,15 +22,15 @@
 from chivepier.wire import LinkError
 from chivepier.wire import RefusedError
 
-KIND = "configuration"
-NAME = "whole"
+DOCUMENT_KIND = "configuration"
+DOCUMENT_NAME = "whole"
 # Seconds for which a node looks for a leader on behalf of a caller, who
 # turns to another node after one second.
-SEARCH_SECONDS = 0.9
+LEADER_SEARCH_SECONDS = 0.9
 # Seconds between two looks for a leader; a vote takes some tens of ms.
-SEARCH_PAUSE = 0.05
+LEADER_RETRY_SECONDS = 0.05
 # The fastest level: repeated names make up most of a configuration.
-COMPRESSION = 1
+COMPRESSION_LEVEL = 1
 
 
 class ConfigStore:
@@ -45,33 +45,33 @@
     :param log: what this process believes
     """
 
-    def __init__(self, leader: LeaderLink, clock: Clock, log: EventLog):
+    def __init__(self, leader: LeaderClient, clock: Clock, log: EventLog):
         self._leader = leader
         self._clock = clock
         self._log = log
-        self._cache: tuple[int, StoredConfig | None] = (-1, None)
-        self._known: StoredConfig | None = None
-        self._packed: tuple[int, bytes] = (-1, b"")
+        self._decoded: tuple[int, StoredConfig | None] = (-1, None)
+        self._cached: StoredConfig | None = None
+        self._compressed: tuple[int, bytes] = (-1, b"")
 
-    def use_known(self, known: StoredConfig | None) -> None:
+    def load_cached(self, cached: StoredConfig | None) -> None:
         """Take what was known to be committed before a restart."""
-        self._known = known
+        self._cached = cached
 
-    def held(self) -> StoredConfig | None:
+    def find_committed(self) -> StoredConfig | None:
         """Return what this node knows to be committed, if anything."""
-        applied, known = self._find_applied(), self._known
-        if applied is None or known is None:
-            return applied or known
-        return known if known.version > applied.version else applied
+        applied, cached = self._find_applied(), self._cached
+        if applied is None or cached is None:
+            return applied or cached
+        return cached if cached.version > applied.version else applied
 
     def _find_applied(self) -> StoredConfig | None:
-        document = self._machine.documents.get((KIND, NAME))
+        document = self._machine.documents.get((DOCUMENT_KIND, DOCUMENT_NAME))
         if document is None:
             return None
-        if self._cache[0] != document.version:
+        if self._decoded[0] != document.version:
             stored = StoredConfig(*cbor2.loads(document.spec))
-            self._cache = (document.version, stored)
-        return self._cache[1]
+            self._decoded = (document.version, stored)
+        return self._decoded[1]
 
     @property
     def _machine(self) -> Machine:
@@ -86,16 +86,18 @@
             if not, it may or may not be
         """
         request = WriteRequest(version, body)
-        deadline = self._clock.monotonic() + SEARCH_SECONDS
-        while (left := deadline - self._clock.monotonic()) > 0:
+        deadline = self._clock.monotonic() + LEADER_SEARCH_SECONDS
+        while (remaining := deadline - self._clock.monotonic()) > 0:
             try:
-                answer = await self._leader.ask(request, left, self.handle)
+                answer = await self._leader.request(
+                    request, remaining, self.handle
+                )
             except (LinkError, TimeoutError) as error:
                 self._log.warn("write_lost", version=version, error=str(error))
             else:
                 if answer.accepted:
                     return True
-            await self._clock.sleep(SEARCH_PAUSE)
+            await self._clock.sleep(LEADER_RETRY_SECONDS)
         return False
 
     async def read(self) -> StoredConfig | None:
@@ -103,18 +105,18 @@
 
         :returns: what holds all that was accepted before the call
         """
-        deadline = self._clock.monotonic() + SEARCH_SECONDS
-        while (left := deadline - self._clock.monotonic()) > 0:
+        deadline = self._clock.monotonic() + LEADER_SEARCH_SECONDS
+        while (remaining := deadline - self._clock.monotonic()) > 0:
             try:
-                answer = await self._leader.ask(
-                    ConfigRequest(True), left, self.handle
+                answer = await self._leader.request(
+                    ConfigRequest(True), remaining, self.handle
                 )
             except (LinkError, TimeoutError) as error:
                 self._log.warn("read_lost", error=str(error))
             else:
                 if answer.known:
                     return StoredConfig(answer.version, answer.unpack())
-            await self._clock.sleep(SEARCH_PAUSE)
+            await self._clock.sleep(LEADER_RETRY_SECONDS)
         return None
 
     async def handle(self, request) -> WriteAnswer | ConfigAnswer:
@@ -125,36 +127,36 @@
         """
         match request:
             case WriteRequest(version=version, body=body):
-                return await self._write_here(version, body)
+                return await self._write_as_leader(version, body)
             case ConfigRequest(confirmed=True):
-                return await self._read_here()
+                return await self._read_as_leader()
             case ConfigRequest():
-                return self._pack(self.held())
+                return self._pack(self.find_committed())
             case other:
                 raise RefusedError(f"not for the store: {other!r}")
 
-    async def _read_here(self) -> ConfigAnswer:
+    async def _read_as_leader(self) -> ConfigAnswer:
         try:
-            await self._leader.catch_up()
+            await self._leader.wait_for_commits()
         except NotLeaderError:
             return ConfigAnswer(False, 0, b"")
-        return self._pack(self.held())
+        return self._pack(self.find_committed())
 
     def _pack(self, stored: StoredConfig | None) -> ConfigAnswer:
         if stored is None:
             return ConfigAnswer(False, 0, b"")
         # every entry asks for the same one: it is compressed once
-        if self._packed[0] != stored.version:
-            packed = zlib.compress(stored.body, level=COMPRESSION)
-            self._packed = (stored.version, packed)
-        return ConfigAnswer(True, *self._packed)
+        if self._compressed[0] != stored.version:
+            compressed = zlib.compress(stored.body, level=COMPRESSION_LEVEL)
+            self._compressed = (stored.version, compressed)
+        return ConfigAnswer(True, *self._compressed)
 
-    async def _write_here(self, version: int, body: bytes) -> WriteAnswer:
+    async def _write_as_leader(self, version: int, body: bytes) -> WriteAnswer:
         try:
             while True:
-                await self._leader.catch_up()
-                held = self.held()
-                if held is not None and version <= held.version:
+                await self._leader.wait_for_commits()
+                committed = self.find_committed()
+                if committed is not None and version <= committed.version:
                     return WriteAnswer(True, "")
                 answer = await self._propose(version, body)
                 if not answer.error:
@@ -164,13 +166,13 @@
             return WriteAnswer(False, repr(error))
 
     async def _propose(self, version: int, body: bytes):
-        document = self._machine.documents.get((KIND, NAME))
+        document = self._machine.documents.get((DOCUMENT_KIND, DOCUMENT_NAME))
         base = document.version if document else 0
         spec = cbor2.dumps((version, body))
         digest = hashlib.sha256(spec).hexdigest()[:16]
         # the base is part of the name: a repeated attempt after a conflict
         # is another change and must not get the first one's answer
         name = f"{version}-{base}-{digest}"
-        edit = Edit(KIND, NAME, base, spec)
+        edit = Edit(DOCUMENT_KIND, DOCUMENT_NAME, base, spec)
         command = ChangeCommand(name, "", (edit,))
         return await self._leader.replica.propose(encode(command))
--- a/packages/gateway/src/chivepier/gateway/control/entrydirectory.py
+++ b/packages/gateway/src/chivepier/gateway/control/entrydirectory.py
@@ -13,20 +13,20 @@
 
 # Seconds after its last word for which an entry counts as alive: a few missed
 # beats.
-ALIVE_SECONDS = 1.2
+LIVENESS_TIMEOUT_SECONDS = 1.2
 # Seconds after which an entry is forgotten, and its share of common budgets
 # goes to the others.
-KEPT_SECONDS = 20.0
+RETENTION_SECONDS = 20.0
 # Seconds after its start in which a voter gives no addresses: entries come
 # back one after the other, and the first would get every caller.
-LEARNING_SECONDS = 0.35
+STARTUP_DELAY_SECONDS = 0.35
 # Share of one answer's addresses in the caller's own availability zone; the
 # rest serves its callers while that zone is lost.
-NEAR_SHARE = 0.75
+LOCAL_SHARE = 0.75
 # Seconds after which the next of many entries are named. Callers close what is
 # no longer named, so only a part of an answer changes.
-TURN_SECONDS = 10.0
-TURN_SHARE = 0.25
+ROTATION_SECONDS = 10.0
+ROTATION_SHARE = 0.25
 
 
 class EntryDirectory:
@@ -46,7 +46,7 @@
         self._started = clock.monotonic()
         self._entries: dict[str, KnownEntry] = {}
 
-    def note(self, beat: EntryBeat, channel: Channel) -> bool:
+    def record_beat(self, beat: EntryBeat, channel: Channel) -> bool:
         """Take an entry's word.
 
         :param beat: what it says of itself
@@ -58,10 +58,10 @@
         self._entries[beat.node] = KnownEntry(beat, channel, now)
         return known is None
 
-    def addresses(
+    def list_addresses(
         self,
         zone: str = "",
-        most: int | None = None,
+        max_count: int | None = None,
         region: str = "",
         allowed: frozenset[str] | None = None,
     ) -> list[str]:
@@ -82,17 +82,19 @@
         :returns: addresses; empty while this voter is still learning
         """
         now = self._clock.monotonic()
-        if now - self._started < LEARNING_SECONDS:
+        if now - self._started < STARTUP_DELAY_SECONDS:
             return []
         ready = [e for e in self._entries.values() if e.beat.ready]
-        alive = [e for e in ready if now - e.heard < ALIVE_SECONDS]
+        alive = [
+            e for e in ready if now - e.last_heard < LIVENESS_TIMEOUT_SECONDS
+        ]
         beats = [entry.beat for entry in alive or ready]
-        beats = self._keep_allowed(beats, region, allowed)
-        if most is None or len(beats) <= most:
+        beats = self._filter_by_region(beats, region, allowed)
+        if max_count is None or len(beats) <= max_count:
             return [beat.address for beat in beats]
-        return _select(beats, zone, most, now)
+        return _select(beats, zone, max_count, now)
 
-    def _keep_allowed(
+    def _filter_by_region(
         self,
         beats: list[EntryBeat],
         region: str,
@@ -105,11 +107,11 @@
         """
         if allowed is None:
             return beats
-        seen = allowed | {region}
-        kept = [b for b in beats if self._regions.get(b.zone) in seen]
-        return kept or beats
+        permitted = allowed | {region}
+        filtered = [b for b in beats if self._regions.get(b.zone) in permitted]
+        return filtered or beats
 
-    def channels(self, without: str = "") -> list[Channel]:
+    def list_channels(self, exclude: str = "") -> list[Channel]:
         """Return the links to entries, for what they are told at once.
 
         :param without: an entry that knows already
@@ -117,10 +119,10 @@
         return [
             entry.channel
             for node, entry in self._entries.items()
-            if node != without and not entry.channel.closed
+            if node != exclude and not entry.channel.closed
         ]
 
-    def beats(self) -> list[EntryBeat]:
+    def list_beats(self) -> list[EntryBeat]:
         """Return the last word of each entry that is known."""
         return [entry.beat for entry in self._entries.values()]
 
@@ -128,16 +130,16 @@
         """Return how many entries there are; one at least."""
         return max(1, len(self._entries))
 
-    def forget(self) -> None:
+    def expire(self) -> None:
         """Drop entries that have long been silent."""
         now = self._clock.monotonic()
         for node, entry in list(self._entries.items()):
-            if now - entry.heard > KEPT_SECONDS:
+            if now - entry.last_heard > RETENTION_SECONDS:
                 del self._entries[node]
 
 
 def _select(
-    beats: list[EntryBeat], zone: str, most: int, now: float
+    beats: list[EntryBeat], zone: str, max_count: int, now: float
 ) -> list[str]:
     """Name entries near a caller, and some of each other zone.
 
@@ -149,24 +151,26 @@
     for beat in sorted(beats, key=lambda beat: _hash(beat.address)):
         by_zone[beat.zone].append(beat.address)
     zones = sorted(by_zone)
-    near = by_zone.pop(zone, [])
-    far = len(beats) - len(near)
-    count = min(len(near), max(int(NEAR_SHARE * most), most - far))
-    turn = int(now / TURN_SECONDS) * max(1, int(TURN_SHARE * count))
-    chosen = _cut(near, turn if count < len(near) else 0, count)
-    place = zones.index(zone) if zone in zones else len(zones)
-    for left, name in zip(range(len(by_zone), 0, -1), sorted(by_zone)):
+    local = by_zone.pop(zone, [])
+    remote_count = len(beats) - len(local)
+    count = min(
+        len(local), max(int(LOCAL_SHARE * max_count), max_count - remote_count)
+    )
+    offset = int(now / ROTATION_SECONDS) * max(1, int(ROTATION_SHARE * count))
+    chosen = _slice_ring(local, offset if count < len(local) else 0, count)
+    zone_rank = zones.index(zone) if zone in zones else len(zones)
+    for zones_left, name in zip(range(len(by_zone), 0, -1), sorted(by_zone)):
         # what a small zone can't give, the next ones do
-        wanted = math.ceil((most - len(chosen)) / left)
-        chosen += _cut(by_zone[name], place * wanted, wanted)
-    return chosen[:most]
+        wanted = math.ceil((max_count - len(chosen)) / zones_left)
+        chosen += _slice_ring(by_zone[name], zone_rank * wanted, wanted)
+    return chosen[:max_count]
 
 
-def _cut(addresses: list[str], first: int, count: int) -> list[str]:
+def _slice_ring(addresses: list[str], start: int, count: int) -> list[str]:
     """Return so many in a row, from one on and round the end."""
-    first %= max(1, len(addresses))
-    row = addresses[first:] + addresses[:first]
-    return row[:count]
+    start %= max(1, len(addresses))
+    ring = addresses[start:] + addresses[:start]
+    return ring[:count]
 
 
 # the entries of a large fleet
--- a/packages/gateway/src/chivepier/gateway/control/hostregions.py
+++ b/packages/gateway/src/chivepier/gateway/control/hostregions.py
@@ -6,8 +6,8 @@
 from chivepier.gateway.control.storedconfig import StoredConfig
 from chivepier.gateway.eventlog import EventLog
 
-Regions = collections.abc.Mapping[str, frozenset[str]]
-DecodeHostRegions = collections.abc.Callable[[bytes], Regions]
+RegionsByHost = collections.abc.Mapping[str, frozenset[str]]
+DecodeHostRegions = collections.abc.Callable[[bytes], RegionsByHost]
 
 
 class HostRegions:
@@ -25,7 +25,7 @@
         self._log = log
         self._decode = decode
         self._version = -1
-        self._regions: Regions = {}
+        self._regions: RegionsByHost = {}
 
     def find(self, host: str) -> frozenset[str] | None:
         """Return the regions that a host's routes allow.
@@ -33,20 +33,20 @@
         :param host: that a caller wants to reach
         :returns: ``None`` where they allow all
         """
-        held = self._store.held()
-        if held is None:
+        config = self._store.find_committed()
+        if config is None:
             return None
-        if held.version != self._version:
-            self._version = held.version
-            self._read(held)
+        if config.version != self._version:
+            self._version = config.version
+            self._read(config)
         return self._regions.get(host.lower())
 
-    def _read(self, held: StoredConfig) -> None:
+    def _read(self, config: StoredConfig) -> None:
         try:
-            self._regions = self._decode(held.body)
+            self._regions = self._decode(config.body)
         except ValueError as error:
             # a voter of another release took it; callers still need addresses,
             # and entries keep to what they can read themselves
             self._log.warn(
-                "regions_unread", version=held.version, error=str(error)
+                "regions_unread", version=config.version, error=str(error)
             )
--- a/packages/gateway/src/chivepier/gateway/control/joiner.py
+++ b/packages/gateway/src/chivepier/gateway/control/joincandidate.py
@@ -6,8 +6,8 @@
 
 
 @attrs.define
-class Joiner:
+class JoinCandidate:
     """An instance without a vote, and when it last asked for one."""
 
     voter: Voter
-    heard: float
+    requested_at: float
--- a/packages/gateway/src/chivepier/gateway/control/knownentry.py
+++ b/packages/gateway/src/chivepier/gateway/control/knownentry.py
@@ -12,4 +12,4 @@
 
     beat: EntryBeat
     channel: Channel
-    heard: float
+    last_heard: float
--- a/packages/gateway/src/chivepier/gateway/control/leaderlink.py
+++ b/packages/gateway/src/chivepier/gateway/control/leaderclient.py
@@ -8,12 +8,12 @@
 from chivepier.wire import LinkError
 from chivepier.wire import Links
 
-Handle = collections.abc.Callable[
+Handler = collections.abc.Callable[
     [typing.Any], collections.abc.Awaitable[typing.Any]
 ]
 
 
-class LeaderLink:
+class LeaderClient:
     """Takes questions to the voter that leads, this one included.
 
     :param replica: this node's replica
@@ -24,8 +24,8 @@
         self.replica = replica
         self._links = links
 
-    async def ask(
-        self, request: typing.Any, seconds: float, handle: Handle
+    async def request(
+        self, request: typing.Any, seconds: float, handle: Handler
     ) -> typing.Any:
         """Have a request answered by the leader.
 
@@ -45,7 +45,7 @@
                 )
         raise LinkError("no leader is known", sent=False)
 
-    async def catch_up(self) -> None:
+    async def wait_for_commits(self) -> None:
         """Return once all that was committed before is applied here.
 
         :raises NotLeaderError: when this voter does not lead
--- a/packages/gateway/src/chivepier/gateway/control/limithub.py
+++ b/packages/gateway/src/chivepier/gateway/control/limitrelay.py
@@ -16,7 +16,7 @@
 from chivepier.wire import prepare
 
 
-class LimitHub:
+class LimitRelay:
     """Passes on what entries were told, and keeps it for those to come.
 
     :param channels: returns where the followers of this voter are reached
@@ -35,23 +35,23 @@
         self._clock = clock
         self._log = log
 
-    def take(self, records: tuple[LimitRecord, ...]) -> None:
+    def receive(self, records: tuple[LimitRecord, ...]) -> None:
         """Take what an entry was told, and tell the followers at once.
 
         :param records: of its beat
         """
         now = self._clock.monotonic()
         words = unpack_words(records, now)
-        news = [word for word in words if self.board.put(word)]
-        if not news:
+        changed = [word for word in words if self.board.put(word)]
+        if not changed:
             return
-        for word in news:
-            self._log_word(word, now)
-        message = prepare(LimitNotice(pack_words(news, now)))
+        for word in changed:
+            self._log_limit(word, now)
+        message = prepare(LimitNotice(pack_words(changed, now)))
         for channel in self._channels():
             channel.send_prepared(message)
 
-    def _log_word(self, word: LimitWord, now: float) -> None:
+    def _log_limit(self, word: LimitWord, now: float) -> None:
         self._log.info(
             "limit_known",
             target=word.instance,
@@ -62,7 +62,7 @@
             age_ms=round(1000 * (now - word.seen)),
         )
 
-    def find_named(
+    def find_active(
         self, targets: collections.abc.Iterable[Target]
     ) -> list[tuple[LimitWord, float]]:
         """Return the limits that targets name now.
@@ -86,7 +86,7 @@
         :param beat: says what it has
         :param epoch: of this voter; one that knows another has nothing
         """
-        revision = beat.limits_held if beat.epoch == epoch else 0
+        revision = beat.limits_revision if beat.epoch == epoch else 0
         if revision >= self.board.revision:
             return ()
         words = self.board.find_newer(revision)
--- a/packages/gateway/src/chivepier/gateway/control/loadledger.py
+++ b/packages/gateway/src/chivepier/gateway/control/loadledger.py
@@ -11,7 +11,7 @@
 from chivepier.gateway.targets import EXPIRY
 
 # What adds up over entries; turns to copy memory are told by entry.
-SUMMED = ("runs", "tokens", "reading", "receiving", "avoiding")
+SUMMED_FIELDS = ("runs", "tokens", "reading", "receiving", "avoiding")
 
 
 class LoadLedger:
@@ -22,21 +22,21 @@
     :param me: this voter's address
     """
 
-    def __init__(self, me: str):
-        self._me = me
-        self._said = LoadState()
-        self._heard: dict[str, float] = {}
-        self._loads: dict[str, collections.Counter[str]] = (
+    def __init__(self, own_address: str):
+        self._own_address = own_address
+        self._reports = LoadState()
+        self._last_heard: dict[str, float] = {}
+        self._load_totals: dict[str, collections.Counter[str]] = (
             collections.defaultdict(collections.Counter)
         )
-        self._waiting: collections.Counter[tuple[str, int]] = (
+        self._waiting_totals: collections.Counter[tuple[str, int]] = (
             collections.Counter()
         )
-        self._used: collections.Counter[str] = collections.Counter()
+        self._retry_totals: collections.Counter[str] = collections.Counter()
         self._changes = LoadState()
-        self._changed_sums = LoadState()
+        self._sum_changes = LoadState()
 
-    def take(self, notice: LoadNotice, now: float) -> None:
+    def receive(self, notice: LoadNotice, now: float) -> None:
         """Take what an entry says of itself.
 
         :param notice: its records
@@ -44,36 +44,36 @@
         """
         parts = (notice.records, notice.queues, notice.repeats)
         for record in itertools.chain(*parts):
-            self._heard[record.entry] = now
-        self._put(*parts)
+            self._last_heard[record.entry] = now
+        self._apply(*parts)
 
-    def drop(self, entry: str) -> None:
+    def drop_entry(self, entry: str) -> None:
         """Forget an entry that follows another voter, which tells of it."""
-        if self._heard.pop(entry, None) is not None:
-            self._put(*LoadState().find_changes(self._said.select(entry)))
+        if self._last_heard.pop(entry, None) is not None:
+            self._apply(*LoadState().find_changes(self._reports.select(entry)))
 
     def expire(self, now: float) -> None:
         """Forget entries that have long been silent."""
-        for entry, heard in list(self._heard.items()):
-            if now - heard >= EXPIRY:
-                self.drop(entry)
+        for entry, last_heard in list(self._last_heard.items()):
+            if now - last_heard >= EXPIRY:
+                self.drop_entry(entry)
 
-    def take_changes(self) -> tuple[LoadState, LoadState]:
+    def pop_changes(self) -> tuple[LoadState, LoadState]:
         """Return what has changed since this was asked before.
 
         :returns: of single entries, and of the sums
         """
-        changes = self._changes, self._changed_sums
-        self._changes, self._changed_sums = LoadState(), LoadState()
+        changes = self._changes, self._sum_changes
+        self._changes, self._sum_changes = LoadState(), LoadState()
         return changes
 
-    def read(self) -> LoadState:
+    def copy_reports(self) -> LoadState:
         """Return what each entry runs and lets wait."""
         state = LoadState()
-        state.add(self._said)
+        state.add(self._reports)
         return state
 
-    def sum_up(self) -> LoadState:
+    def aggregate(self) -> LoadState:
         """Return one record a target and rank, in this voter's name.
 
         Who copies memory off a leaving target is told by entry, as they take
@@ -81,82 +81,82 @@
         one a target: what crosses its border does not grow with the entries.
         """
         summed = LoadState()
-        for record in self._said.records.values():
-            if record.turn or record.copying:
-                self._put_turn(summed, record)
-        for instance in self._loads:
-            self._put_load(summed, instance)
-        for place in self._waiting:
-            self._put_waiting(summed, place)
-        for service in self._used:
-            self._put_used(summed, service)
+        for record in self._reports.records.values():
+            if record.copy_ms or record.copying:
+                self._add_copy_record(summed, record)
+        for instance in self._load_totals:
+            self._add_load_sum(summed, instance)
+        for queue_key in self._waiting_totals:
+            self._add_waiting_sum(summed, queue_key)
+        for service in self._retry_totals:
+            self._add_retry_sum(summed, service)
         return summed
 
-    def _put(
+    def _apply(
         self,
         records: tuple[LoadRecord, ...],
         queues: tuple[QueueRecord, ...],
         repeats: tuple[RepeatRecord, ...],
     ) -> None:
         for record in records:
-            self._change_load(record)
+            self._update_load(record)
         for queue in queues:
-            self._change_waiting(queue)
+            self._update_waiting(queue)
         for repeat in repeats:
-            self._change_used(repeat)
+            self._update_retries(repeat)
 
-    def _change_load(self, record: LoadRecord) -> None:
+    def _update_load(self, record: LoadRecord) -> None:
         entry, instance = record.entry, record.instance
-        nothing = LoadRecord(entry, instance, 0, 0, 0, 0)
-        before = self._said.records.pop((entry, instance), nothing)
-        if record != nothing:
-            self._said.records[(entry, instance)] = record
+        empty = LoadRecord(entry, instance, 0, 0, 0, 0)
+        before = self._reports.records.pop((entry, instance), empty)
+        if record != empty:
+            self._reports.records[(entry, instance)] = record
         if record == before:
             return
         self._changes.put((record,), (), ())
-        total = self._loads[instance]
-        for name in SUMMED:
+        total = self._load_totals[instance]
+        for name in SUMMED_FIELDS:
             total[name] += getattr(record, name) - getattr(before, name)
-        self._put_load(self._changed_sums, instance)
+        self._add_load_sum(self._sum_changes, instance)
         if not any(total.values()):
-            del self._loads[instance]
-        turn = (record.turn, record.copying)
-        if turn != (before.turn, before.copying):
-            self._put_turn(self._changed_sums, record)
+            del self._load_totals[instance]
+        copy_state = (record.copy_ms, record.copying)
+        if copy_state != (before.copy_ms, before.copying):
+            self._add_copy_record(self._sum_changes, record)
 
-    def _change_waiting(self, queue: QueueRecord) -> None:
+    def _update_waiting(self, queue: QueueRecord) -> None:
         key = (queue.entry, queue.service, queue.rank)
-        before = self._said.queues.pop(key, None)
+        before = self._reports.queues.pop(key, None)
         if queue.waiting:
-            self._said.queues[key] = queue
-        grown = queue.waiting - (before.waiting if before else 0)
-        if not grown:
+            self._reports.queues[key] = queue
+        delta = queue.waiting - (before.waiting if before else 0)
+        if not delta:
             return
         self._changes.put((), (queue,), ())
-        place = (queue.service, queue.rank)
-        self._waiting[place] += grown
-        self._put_waiting(self._changed_sums, place)
-        if not self._waiting[place]:
-            del self._waiting[place]
+        queue_key = (queue.service, queue.rank)
+        self._waiting_totals[queue_key] += delta
+        self._add_waiting_sum(self._sum_changes, queue_key)
+        if not self._waiting_totals[queue_key]:
+            del self._waiting_totals[queue_key]
 
-    def _change_used(self, repeat: RepeatRecord) -> None:
+    def _update_retries(self, repeat: RepeatRecord) -> None:
         key = (repeat.entry, repeat.service)
-        before = self._said.repeats.pop(key, None)
+        before = self._reports.repeats.pop(key, None)
         if repeat.used:
-            self._said.repeats[key] = repeat
-        grown = repeat.used - (before.used if before else 0)
-        if not grown:
+            self._reports.repeats[key] = repeat
+        delta = repeat.used - (before.used if before else 0)
+        if not delta:
             return
         self._changes.put((), (), (repeat,))
-        self._used[repeat.service] += grown
-        self._put_used(self._changed_sums, repeat.service)
-        if not self._used[repeat.service]:
-            del self._used[repeat.service]
+        self._retry_totals[repeat.service] += delta
+        self._add_retry_sum(self._sum_changes, repeat.service)
+        if not self._retry_totals[repeat.service]:
+            del self._retry_totals[repeat.service]
 
-    def _put_load(self, state: LoadState, instance: str) -> None:
-        total = self._loads[instance]
+    def _add_load_sum(self, state: LoadState, instance: str) -> None:
+        total = self._load_totals[instance]
         record = LoadRecord(
-            self._me,
+            self._own_address,
             instance,
             total["runs"],
             total["tokens"],
@@ -168,22 +168,28 @@
         )
         state.put((record,), (), ())
 
-    def _put_turn(self, state: LoadState, record: LoadRecord) -> None:
-        turn = LoadRecord(
+    def _add_copy_record(self, state: LoadState, record: LoadRecord) -> None:
+        copy_record = LoadRecord(
             record.entry,
             record.instance,
             0,
             0,
             0,
-            record.turn,
+            record.copy_ms,
             record.copying,
         )
-        state.put((turn,), (), ())
+        state.put((copy_record,), (), ())
 
-    def _put_waiting(self, state: LoadState, place: tuple[str, int]) -> None:
-        queue = QueueRecord(self._me, *place, self._waiting[place])
+    def _add_waiting_sum(
+        self, state: LoadState, queue_key: tuple[str, int]
+    ) -> None:
+        queue = QueueRecord(
+            self._own_address, *queue_key, self._waiting_totals[queue_key]
+        )
         state.put((), (queue,), ())
 
-    def _put_used(self, state: LoadState, service: str) -> None:
-        repeat = RepeatRecord(self._me, service, self._used[service])
+    def _add_retry_sum(self, state: LoadState, service: str) -> None:
+        repeat = RepeatRecord(
+            self._own_address, service, self._retry_totals[service]
+        )
         state.put((), (), (repeat,))
--- a/packages/gateway/src/chivepier/gateway/control/loadhub.py
+++ b/packages/gateway/src/chivepier/gateway/control/loadrelay.py
@@ -14,19 +14,19 @@
 from chivepier.wire import prepare
 
 # Seconds for which changes are gathered into one message to each entry.
-GATHER_SECONDS = 0.02
+BATCH_SECONDS = 0.02
 # Seconds between two words to the other voters, also where nothing changed:
 # they tell by these whom they hear.
-DIGEST_SECONDS = 0.25
+DIGEST_INTERVAL_SECONDS = 0.25
 # Seconds without a word after which another voter is not heard, and what it
 # told no longer counts: four words in a row are lost by no accident.
-SILENT_SECONDS = 1.0
+PEER_TIMEOUT_SECONDS = 1.0
 # Seconds between two tellings of everything, which heal what was lost. Half of
 # the time for which entries believe what they were told.
-WHOLE_SECONDS = 1.7
+FULL_SYNC_INTERVAL_SECONDS = 1.7
 
 
-class LoadHub:
+class LoadRelay:
     """Tells the entries that follow this voter what runs everywhere.
 
     Each entry follows one voter, of its own availability zone where that one
@@ -39,20 +39,24 @@
     :param clock: monotonic time
     """
 
-    def __init__(self, me: str, peers: Peers, links: Links, clock: Clock):
-        self._me = me
+    def __init__(
+        self, own_address: str, peers: Peers, links: Links, clock: Clock
+    ):
+        self._own_address = own_address
         self._peers = peers
         self._links = links
         self._clock = clock
-        self._ledger = LoadLedger(me)
+        self._ledger = LoadLedger(own_address)
         self._followers: dict[str, Channel] = {}
-        self._new: set[str] = set()
-        self._others: dict[str, PeerLoads] = {}
-        self._news = LoadState()
-        self._whole_at = self._digest_at = 0.0
+        self._new_followers: set[str] = set()
+        self._peer_loads: dict[str, PeerLoads] = {}
+        self._pending = LoadState()
+        self._full_sync_at = self._digest_sent_at = 0.0
         self._changed = asyncio.Event()
 
-    def note_entry(self, entry: str, channel: Channel, follows: bool) -> None:
+    def update_follower(
+        self, entry: str, channel: Channel, follows: bool
+    ) -> None:
         """Take whether an entry follows this voter.
 
         :param entry: its name
@@ -63,109 +67,115 @@
         if not follows:
             if known is not None:
                 del self._followers[entry]
-                self._ledger.drop(entry)
+                self._ledger.drop_entry(entry)
                 self._changed.set()
             return
         if known is not channel:
             self._followers[entry] = channel
-            self._new.add(entry)
+            self._new_followers.add(entry)
             self._changed.set()
 
-    def channels(self) -> list[Channel]:
+    def list_channels(self) -> list[Channel]:
         """Return where the entries that follow this voter are reached."""
         return list(self._followers.values())
 
-    def take(self, notice: LoadNotice) -> None:
+    def receive(self, notice: LoadNotice) -> None:
         """Take what an entry that follows this voter says."""
-        self._ledger.take(notice, self._clock.monotonic())
+        self._ledger.receive(notice, self._clock.monotonic())
         self._changed.set()
 
-    def take_digest(self, digest: LoadDigest) -> None:
+    def receive_digest(self, digest: LoadDigest) -> None:
         """Take what another voter's entries run."""
         now = self._clock.monotonic()
-        peer = self._others.setdefault(digest.voter, PeerLoads(now))
-        peer.heard, before = now, peer.state
-        told = LoadState()
-        told.put(digest.records, digest.queues, digest.repeats)
+        peer = self._peer_loads.setdefault(digest.voter, PeerLoads(now))
+        peer.last_heard, before = now, peer.loads
+        received = LoadState()
+        received.put(digest.records, digest.queues, digest.repeats)
         if digest.whole:
-            told, peer.state = LoadState(), told
-            told.put(*peer.state.find_changes(before))
+            received, peer.loads = LoadState(), received
+            received.put(*peer.loads.find_changes(before))
         else:
-            peer.state.add(told)
-        self._news.add(told)
-        if told:
+            peer.loads.add(received)
+        self._pending.add(received)
+        if received:
             self._changed.set()
 
-    def find_group(self) -> tuple[str, ...]:
+    def find_reachable_voters(self) -> tuple[str, ...]:
         """Return the voters that this one hears, itself included, sorted."""
         now = self._clock.monotonic()
         heard = [
             address
-            for address, peer in self._others.items()
-            if now - peer.heard < SILENT_SECONDS
+            for address, peer in self._peer_loads.items()
+            if now - peer.last_heard < PEER_TIMEOUT_SECONDS
         ]
-        return tuple(sorted([self._me, *heard]))
+        return tuple(sorted([self._own_address, *heard]))
 
     async def run(self) -> None:
         """Pass on, for as long as the node lives."""
         while True:
             try:
-                async with asyncio.timeout(DIGEST_SECONDS):
+                async with asyncio.timeout(DIGEST_INTERVAL_SECONDS):
                     await self._changed.wait()
             except TimeoutError:
                 pass
             else:
-                await self._clock.sleep(GATHER_SECONDS)
+                await self._clock.sleep(BATCH_SECONDS)
             self._changed.clear()
-            self.tell()
+            self.publish()
 
-    def tell(self) -> None:
+    def publish(self) -> None:
         """Tell followers and the other voters what is new."""
         now = self._clock.monotonic()
         self._ledger.expire(now)
-        self._drop_silent(now)
-        changes, sums = self._ledger.take_changes()
-        self._news.add(changes)
-        whole = now - self._whole_at >= WHOLE_SECONDS
+        self._expire_peers(now)
+        changes, sums = self._ledger.pop_changes()
+        self._pending.add(changes)
+        whole = now - self._full_sync_at >= FULL_SYNC_INTERVAL_SECONDS
         if whole:
-            self._whole_at = now
-            sums = self._ledger.sum_up()
-        if whole or sums or now - self._digest_at >= DIGEST_SECONDS:
-            self._digest_at = now
-            self._tell_peers(LoadDigest(self._me, whole, *sums.pack()))
-        self._tell_followers(whole)
-
-    def _drop_silent(self, now: float) -> None:
-        for address, peer in list(self._others.items()):
-            if now - peer.heard >= SILENT_SECONDS:
-                del self._others[address]
-                self._news.put(*LoadState().find_changes(peer.state))
-
-    def _tell_peers(self, digest: LoadDigest) -> None:
+            self._full_sync_at = now
+            sums = self._ledger.aggregate()
+        if (
+            whole
+            or sums
+            or now - self._digest_sent_at >= DIGEST_INTERVAL_SECONDS
+        ):
+            self._digest_sent_at = now
+            self._send_digest(
+                LoadDigest(self._own_address, whole, *sums.pack())
+            )
+        self._send_notices(whole)
+
+    def _expire_peers(self, now: float) -> None:
+        for address, peer in list(self._peer_loads.items()):
+            if now - peer.last_heard >= PEER_TIMEOUT_SECONDS:
+                del self._peer_loads[address]
+                self._pending.put(*LoadState().find_changes(peer.loads))
+
+    def _send_digest(self, digest: LoadDigest) -> None:
         for peer in self._peers.voters:
-            if peer != self._me:
+            if peer != self._own_address:
                 self._links.post(peer, digest)
 
-    def _tell_followers(self, whole: bool) -> None:
-        news, self._news = self._news, LoadState()
-        notice = prepare(_make_notice(news, False))
-        everything = None
-        if whole or self._new:
-            everything = prepare(_make_notice(self._read_all(), True))
+    def _send_notices(self, whole: bool) -> None:
+        pending, self._pending = self._pending, LoadState()
+        notice = prepare(_make_notice(pending, False))
+        full_notice = None
+        if whole or self._new_followers:
+            full_notice = prepare(_make_notice(self._read_all(), True))
         for entry, channel in list(self._followers.items()):
             if channel.closed:
                 del self._followers[entry]
-                self._ledger.drop(entry)
-            elif whole or entry in self._new:
-                channel.send_prepared(everything)
-            elif news:
+                self._ledger.drop_entry(entry)
+            elif whole or entry in self._new_followers:
+                channel.send_prepared(full_notice)
+            elif pending:
                 channel.send_prepared(notice)
-        self._new.clear()
+        self._new_followers.clear()
 
     def _read_all(self) -> LoadState:
-        state = self._ledger.read()
-        for peer in self._others.values():
-            state.add(peer.state)
+        state = self._ledger.copy_reports()
+        for peer in self._peer_loads.values():
+            state.add(peer.loads)
         return state
 
 
--- a/packages/gateway/src/chivepier/gateway/control/loadstate.py
+++ b/packages/gateway/src/chivepier/gateway/control/loadstate.py
@@ -63,7 +63,7 @@
         )
 
     def find_changes(
-        self, told: "LoadState"
+        self, known: "LoadState"
     ) -> tuple[Records, Queues, Repeats]:
         """Return what differs from what was told; what has ended, as none.
 
@@ -72,23 +72,23 @@
         return (
             _compare(
                 self.records,
-                told.records,
+                known.records,
                 lambda key: LoadRecord(*key, 0, 0, 0, 0),
             ),
             _compare(
-                self.queues, told.queues, lambda key: QueueRecord(*key, 0)
+                self.queues, known.queues, lambda key: QueueRecord(*key, 0)
             ),
             _compare(
-                self.repeats, told.repeats, lambda key: RepeatRecord(*key, 0)
+                self.repeats, known.repeats, lambda key: RepeatRecord(*key, 0)
             ),
         )
 
 
 def _compare(
     now: dict[tuple, typing.Any],
-    told: dict[tuple, typing.Any],
-    end: collections.abc.Callable[[tuple], typing.Any],
+    known: dict[tuple, typing.Any],
+    make_empty: collections.abc.Callable[[tuple], typing.Any],
 ) -> tuple:
-    changed = [value for key, value in now.items() if told.get(key) != value]
-    ended = [end(key) for key in told.keys() - now.keys()]
-    return (*changed, *ended)
+    changed = [value for key, value in now.items() if known.get(key) != value]
+    removed = [make_empty(key) for key in known.keys() - now.keys()]
+    return (*changed, *removed)
--- a/packages/gateway/src/chivepier/gateway/control/seats.py
+++ b/packages/gateway/src/chivepier/gateway/control/membership.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from chivepier.gateway.control.joiner import Joiner
+from chivepier.gateway.control.joincandidate import JoinCandidate
 from chivepier.gateway.eventlog import EventLog
 from chivepier.gateway.following import Peers
 from chivepier.gateway.messages import JoinAnswer
@@ -17,24 +17,24 @@
 from chivepier.wire import Links
 
 # Seconds between two looks at who should vote.
-PAUSE_SECONDS = 0.4
+CHECK_INTERVAL_SECONDS = 0.4
 # Seconds for which a request to join counts; it is repeated as often as the
 # seats are looked at.
-JOIN_SECONDS = 1.5
+JOIN_REQUEST_TTL_SECONDS = 1.5
 # Seconds of silence after which a replaced voter loses its seat; a restart in
 # turn takes less.
-REPLACED_SECONDS = 4.0
+REPLACED_TIMEOUT_SECONDS = 4.0
 # Seconds of silence after which a voter loses its seat without having been
 # replaced.
-GONE_SECONDS = 20.0
+UNREACHABLE_TIMEOUT_SECONDS = 20.0
 # Voters that must remain: with fewer, the loss of one stops every change.
-LEAST_VOTERS = 3
+MIN_VOTERS = 3
 # Seconds for one change of voters before the seats are looked at again.
-CHANGE_SECONDS = 5.0
-ASK_SECONDS = 0.8
+CHANGE_TIMEOUT_SECONDS = 5.0
+JOIN_REQUEST_TIMEOUT_SECONDS = 0.8
 
 
-class Seats:
+class Membership:
     """Asks for a vote while this node has none, and gives votes as leader.
 
     :param replica: this node's replica
@@ -48,29 +48,29 @@
     def __init__(
         self,
         replica: Replica,
-        me: str,
+        own_address: str,
         links: Links,
         peers: Peers,
         clock: Clock,
         log: EventLog,
     ):
         self._replica = replica
-        self._me = me
+        self._own_address = own_address
         self._links = links
         self._peers = peers
         self._clock = clock
         self._log = log
-        self._joiners: dict[str, Joiner] = {}
-        self._added: dict[str, float] = {}
+        self._candidates: dict[str, JoinCandidate] = {}
+        self._added_at: dict[str, float] = {}
         self._silent_since: dict[str, float] = {}
-        self._seated: bool | None = None
+        self._has_vote: bool | None = None
 
     async def run(self) -> None:
         """Look at the seats for as long as the node lives."""
         while True:
             try:
-                async with asyncio.timeout(CHANGE_SECONDS):
-                    await self._look()
+                async with asyncio.timeout(CHANGE_TIMEOUT_SECONDS):
+                    await self._check_membership()
             except (
                 NotLeaderError,
                 LostLeadError,
@@ -78,39 +78,43 @@
                 TimeoutError,
             ) as error:
                 self._log.warn("seats_unchanged", error=repr(error))
-            await self._clock.sleep(PAUSE_SECONDS)
+            await self._clock.sleep(CHECK_INTERVAL_SECONDS)
 
-    async def _look(self) -> None:
+    async def _check_membership(self) -> None:
         replica = self._replica
         if replica.leads():
-            await self._give(replica)
+            await self._update_voters(replica)
             return
         self._silent_since.clear()
-        await self._ask_for_seat()
+        await self._request_vote()
 
-    async def _ask_for_seat(self) -> None:
+    async def _request_vote(self) -> None:
         # also a voter asks: one that lost its seat while it was away does
         # not know it, as nobody sends it the log any more
         replica = self._replica
-        request = JoinRequest(replica.node, self._me, replica.cluster)
-        peers = [p for p in self._peers.all if p != self._me]
+        request = JoinRequest(replica.node, self._own_address, replica.cluster)
+        peers = [p for p in self._peers.all if p != self._own_address]
         if not peers or (replica.votes() and replica.leader):
             return
-        asks = [self._ask(peer, request) for peer in peers]
-        answers = [a for a in await asyncio.gather(*asks) if a is not None]
+        requests = [self._send_join_request(peer, request) for peer in peers]
+        answers = [a for a in await asyncio.gather(*requests) if a is not None]
         for answer in answers:
             if answer.voters:
                 self._peers.learn(answer.voters)
         if answers:
-            self._note_seat([answer.votes for answer in answers])
+            self._log_vote_status([answer.votes for answer in answers])
 
-    async def _ask(self, peer: str, request: JoinRequest) -> JoinAnswer | None:
+    async def _send_join_request(
+        self, peer: str, request: JoinRequest
+    ) -> JoinAnswer | None:
         try:
-            return await self._links.request(peer, request, ASK_SECONDS)
+            return await self._links.request(
+                peer, request, JOIN_REQUEST_TIMEOUT_SECONDS
+            )
         except LinkError:
             return None
 
-    def _note_seat(self, told: list[bool]) -> None:
+    def _log_vote_status(self, reported: list[bool]) -> None:
         """Log whether this node has a vote, as most of the others say.
 
         Those that have just started know little, and contradict the others
@@ -118,11 +122,14 @@
 
         :param told: by each that answered
         """
-        votes = 2 * sum(told) > len(told)
-        if votes is not self._seated:
-            self._seated = votes
+        votes = 2 * sum(reported) > len(reported)
+        if votes is not self._has_vote:
+            self._has_vote = votes
             self._log.info(
-                "seat", votes=votes, agree=told.count(votes), asked=len(told)
+                "seat",
+                votes=votes,
+                agree=reported.count(votes),
+                asked=len(reported),
             )
 
     def handle(self, request: JoinRequest) -> JoinAnswer:
@@ -135,7 +142,7 @@
         if not request.cluster or request.cluster == replica.cluster:
             voter = Voter(request.node, request.address)
             now = self._clock.monotonic()
-            self._joiners[request.node] = Joiner(voter, now)
+            self._candidates[request.node] = JoinCandidate(voter, now)
         voters = replica.voters
         return JoinAnswer(
             replica.cluster,
@@ -143,23 +150,23 @@
             tuple(v.address for v in voters),
         )
 
-    async def _give(self, replica: Replica) -> None:
+    async def _update_voters(self, replica: Replica) -> None:
         now = self._clock.monotonic()
-        self._note_silence(now)
-        joiners = self._find_joiners(now)
-        for joiner in joiners:
+        self._track_silence(now)
+        candidates = self._find_candidates(now)
+        for candidate in candidates:
             for voter in replica.voters:
-                if voter.address == joiner.address:
+                if voter.address == candidate.address:
                     # another identity answers at its address: the disk
                     # that this vote belonged to is lost for good
                     await self._remove(voter)
                     return
-        for joiner in joiners:
-            self._log.info("seat_given", voter=joiner.node)
-            await replica.changes.add(joiner)
-            self._added[joiner.node] = now
+        for candidate in candidates:
+            self._log.info("seat_given", voter=candidate.node)
+            await replica.changes.add(candidate)
+            self._added_at[candidate.node] = now
             return
-        for voter in self._find_gone(now):
+        for voter in self._find_removable(now):
             await self._remove(voter)
             return
 
@@ -167,14 +174,17 @@
         await self._replica.changes.remove(voter.node)
         self._log.warn("seat_taken", voter=voter.node, address=voter.address)
 
-    def _find_joiners(self, now: float) -> list[Voter]:
+    def _find_candidates(self, now: float) -> list[Voter]:
         voting = {voter.node for voter in self._replica.voters}
-        for node, joiner in list(self._joiners.items()):
-            if node in voting or now - joiner.heard > JOIN_SECONDS:
-                del self._joiners[node]
-        return [joiner.voter for joiner in self._joiners.values()]
-
-    def _note_silence(self, now: float) -> None:
+        for node, candidate in list(self._candidates.items()):
+            if (
+                node in voting
+                or now - candidate.requested_at > JOIN_REQUEST_TTL_SECONDS
+            ):
+                del self._candidates[node]
+        return [candidate.voter for candidate in self._candidates.values()]
+
+    def _track_silence(self, now: float) -> None:
         states = self._replica.changes.report()
         for state in states:
             if state.holds:
@@ -185,7 +195,7 @@
         for node in self._silent_since.keys() - known:
             del self._silent_since[node]
 
-    def _find_gone(self, now: float) -> list[Voter]:
+    def _find_removable(self, now: float) -> list[Voter]:
         """Find the voters whose votes are to be taken.
 
         A vote is taken only where the others bear as many losses as before:
@@ -194,15 +204,23 @@
         disks are lost.
         """
         voters = self._replica.voters
-        if len(voters) <= LEAST_VOTERS:
+        if len(voters) <= MIN_VOTERS:
             return []
-        gone = [voter for voter in voters if self._is_gone(voter, now)]
+        unreachable = [
+            voter for voter in voters if self._is_unreachable(voter, now)
+        ]
         odd = len(voters) % 2 == 1
-        return [] if odd and len(gone) < 2 else gone
+        return [] if odd and len(unreachable) < 2 else unreachable
 
-    def _is_gone(self, voter: Voter, now: float) -> bool:
+    def _is_unreachable(self, voter: Voter, now: float) -> bool:
         since = self._silent_since.get(voter.node)
         if since is None:
             return False
-        replaced = any(added > since for added in self._added.values())
-        return now - since > (REPLACED_SECONDS if replaced else GONE_SECONDS)
+        replaced = any(
+            added_at > since for added_at in self._added_at.values()
+        )
+        return now - since > (
+            REPLACED_TIMEOUT_SECONDS
+            if replaced
+            else UNREACHABLE_TIMEOUT_SECONDS
+        )
--- a/packages/gateway/src/chivepier/gateway/control/operatorapi.py
+++ b/packages/gateway/src/chivepier/gateway/control/operatorapi.py
@@ -16,7 +16,7 @@
 
 ORDER_PATH = "/v1/operator/evacuations/{zone}"
 # Characters of a name that an error repeats.
-MOST_NAME = 200
+MAX_NAME_LENGTH = 200
 
 
 @attrs.frozen
@@ -28,24 +28,24 @@
 
     voter: Voter
 
-    def add_to(self, routes: web.UrlDispatcher) -> None:
+    def register_routes(self, routes: web.UrlDispatcher) -> None:
         """Serve it.
 
         :param routes: of the server that operators reach
         """
-        routes.add_get("/healthz", self._answer_alive)
-        routes.add_get("/v1/operator/status", self._answer_status)
+        routes.add_get("/healthz", self._get_health)
+        routes.add_get("/v1/operator/status", self._get_status)
         routes.add_post(ORDER_PATH, self._evacuate)
         routes.add_delete(ORDER_PATH, self._readmit)
 
-    async def _answer_alive(self, request: web.Request) -> web.Response:
+    async def _get_health(self, request: web.Request) -> web.Response:
         return web.json_response({})
 
-    async def _answer_status(self, request: web.Request) -> web.Response:
+    async def _get_status(self, request: web.Request) -> web.Response:
         voter = self.voter
-        held = voter.store.held()
-        beats = voter.entries.beats()
-        plain = {
+        config = voter.store.find_committed()
+        beats = voter.entries.list_beats()
+        status = {
             "voters": [
                 {"node": v.node, "address": v.address}
                 for v in voter.replica.voters
@@ -63,7 +63,7 @@
                 for beat in beats
             ],
             "targets": [_describe(target) for target in voter.table],
-            "version": held.version if held else 0,
+            "version": config.version if config else 0,
             # the oldest that an entry still acts on
             "in_force": min((beat.version for beat in beats), default=0),
             "evacuations": [
@@ -82,22 +82,22 @@
                     "source": word.source,
                     "seconds": round(age, 1),
                 }
-                for word, age in voter.limits.find_named(voter.table)
+                for word, age in voter.limits.find_active(voter.table)
             ],
         }
-        return web.json_response(plain)
+        return web.json_response(status)
 
     async def _evacuate(self, request: web.Request) -> web.Response:
-        return await self._order(request, True)
+        return await self._handle_order(request, True)
 
     async def _readmit(self, request: web.Request) -> web.Response:
-        return await self._order(request, False)
+        return await self._handle_order(request, False)
 
-    async def _order(
+    async def _handle_order(
         self, request: web.Request, evacuated: bool
     ) -> web.Response:
         zone = request.match_info["zone"]
-        failure = await give_order(self.voter, request, zone, evacuated)
+        failure = await submit_order(self.voter, request, zone, evacuated)
         if failure is None:
             return web.json_response({"zone": zone, "evacuated": evacuated})
         return web.json_response(
@@ -107,7 +107,7 @@
         )
 
 
-async def give_order(
+async def submit_order(
     voter: Voter, request: web.Request, zone: str, evacuated: bool
 ) -> Failure | None:
     """Carry out an operator's order about an availability zone.
@@ -119,17 +119,17 @@
     :returns: why it is not in force, or nothing
     """
     if not voter.knows_zone(zone):
-        text = f"no availability zone {zone[:MOST_NAME]!r}"
+        text = f"no availability zone {zone[:MAX_NAME_LENGTH]!r}"
         return Failure(ErrorKind.BAD_REQUEST, text)
     order = voter.orders.prepare(zone, evacuated)
-    work = voter.orders.carry_out(order, lambda: _waits(request))
+    work = voter.orders.commit(order, lambda: _is_connected(request))
     if await asyncio.shield(work):
         return None
     text = "no leader took it in time; it may be in force"
     return Failure(ErrorKind.NO_QUORUM, text)
 
 
-def _waits(request: web.Request) -> bool:
+def _is_connected(request: web.Request) -> bool:
     transport = request.transport
     return transport is not None and not transport.is_closing()
 
--- a/packages/gateway/src/chivepier/gateway/control/peerloads.py
+++ b/packages/gateway/src/chivepier/gateway/control/peerloads.py
@@ -9,5 +9,5 @@
 class PeerLoads:
     """What another voter told, and when it was last heard."""
 
-    heard: float
-    state: LoadState = attrs.field(factory=LoadState)
+    last_heard: float
+    loads: LoadState = attrs.field(factory=LoadState)
--- a/packages/gateway/src/chivepier/gateway/control/permithub.py
+++ b/packages/gateway/src/chivepier/gateway/control/permitservice.py
@@ -2,7 +2,7 @@
 
 import random
 
-from chivepier.gateway.control.leaderlink import LeaderLink
+from chivepier.gateway.control.leaderclient import LeaderClient
 from chivepier.gateway.eventlog import EventLog
 from chivepier.gateway.messages import PermitAnswer
 from chivepier.gateway.messages import PermitRequest
@@ -16,7 +16,7 @@
 from chivepier.wire import LinkError
 
 
-class PermitHub:
+class PermitService:
     """Takes entries' questions to the leader, and answers them there.
 
     Of the voters only the leader permits anything, while it holds its
@@ -33,7 +33,7 @@
 
     def __init__(
         self,
-        leader: LeaderLink,
+        leader: LeaderClient,
         clock: Clock,
         log: EventLog,
         rng: random.Random,
@@ -50,41 +50,43 @@
         :param request: for one send to one target
         """
         try:
-            return await self._leader.ask(
-                request, min(request.lapse, MOST_PERMIT_SECONDS), self._grant
+            return await self._leader.request(
+                request,
+                min(request.permit_seconds, MOST_PERMIT_SECONDS),
+                self._grant,
             )
         except (LinkError, TimeoutError) as error:
             # an answer that comes later is of no use to who asked
             self._log.info(
                 "permit_unasked", target=request.instance, error=str(error)
             )
-            return PermitAnswer(False, led=False)
+            return PermitAnswer(False, has_leader=False)
 
     async def _grant(self, request: PermitRequest) -> PermitAnswer:
         since = self._leader.replica.leads_since()
         if since is None:
-            return PermitAnswer(False, led=False)
+            return PermitAnswer(False, has_leader=False)
         now = self._clock.monotonic()
-        if request.most and now - since < MOST_WINDOW_SECONDS:
+        if request.cold_limit and now - since < MOST_WINDOW_SECONDS:
             return PermitAnswer(False)
-        turn = self._find_turn(request, now, since)
+        turn = self._claim_turn(request, now, since)
         if not turn.granted:
             return PermitAnswer(False, turn.wait)
-        if request.most and not self._ledger.grant(
+        if request.cold_limit and not self._ledger.grant(
             request.instance,
-            request.most,
+            request.cold_limit,
             now,
-            min(request.lapse, MOST_PERMIT_SECONDS),
+            min(request.permit_seconds, MOST_PERMIT_SECONDS),
         ):
             return PermitAnswer(False)
         return PermitAnswer(True, turn.wait)
 
-    def _find_turn(
+    def _claim_turn(
         self, request: PermitRequest, now: float, since: float
     ) -> Turn:
         if request.rate < 0:
             return Turn(True, 0.0)
-        claim = Claim(request.team, request.urgency, request.patience)
+        claim = Claim(request.team, request.urgency, request.max_wait)
         return self._turns.claim(
             request.instance, request.rate, claim, now, since
         )
--- a/packages/gateway/src/chivepier/gateway/control/preparedorder.py
+++ b/packages/gateway/src/chivepier/gateway/control/preparedorder.py
@@ -15,5 +15,5 @@
 
     zone: str
     evacuated: bool
-    base: int
-    arrived: float
+    base_index: int
+    received_at: float
--- a/packages/gateway/src/chivepier/gateway/control/quarantinehub.py
+++ b/packages/gateway/src/chivepier/gateway/control/quarantinerelay.py
@@ -14,7 +14,7 @@
 from chivepier.wire import prepare
 
 
-class QuarantineHub:
+class QuarantineRelay:
     """Passes on what entries see, and keeps it for those that come later.
 
     :param channels: returns where the followers of this voter are reached
@@ -33,7 +33,7 @@
         self._clock = clock
         self._log = log
 
-    def take(self, notice: QuarantineNotice) -> bool:
+    def receive(self, notice: QuarantineNotice) -> bool:
         """Take what an entry saw, and tell the followers at once.
 
         Another entry may be sent the same request within a tenth of a second;
@@ -44,18 +44,20 @@
         """
         now = self._clock.monotonic()
         records = unpack_records(notice, now)
-        news = [record for record in records if self.ledger.add(record)]
-        if news:
+        new_records = [record for record in records if self.ledger.add(record)]
+        if new_records:
             self._log.info(
                 "quarantine_told",
-                digests=sorted({shorten(record.digest) for record in news}),
-                sources=sorted({record.source for record in news}),
+                digests=sorted(
+                    {shorten(record.digest) for record in new_records}
+                ),
+                sources=sorted({record.source for record in new_records}),
                 suspects=len(self.ledger.suspects),
             )
-            message = prepare(pack_records(news, now))
+            message = prepare(pack_records(new_records, now))
             for channel in self._channels():
                 channel.send_prepared(message)
-        return bool(news)
+        return bool(new_records)
 
     def find_missing(self, beat: EntryBeat, epoch: str) -> QuarantineNotice:
         """Return what an entry lacks.
@@ -63,7 +65,7 @@
         :param beat: says what it has
         :param epoch: of this voter; one that knows another has nothing
         """
-        revision = beat.held if beat.epoch == epoch else 0
+        revision = beat.quarantine_revision if beat.epoch == epoch else 0
         if revision >= self.ledger.revision:
             return QuarantineNotice()
         records = self.ledger.find_newer(revision)
--- a/packages/gateway/src/chivepier/gateway/control/registry.py
+++ b/packages/gateway/src/chivepier/gateway/control/registry.py
@@ -18,10 +18,10 @@
 
 # Seconds after a zone was taken back in which all that its targets say goes
 # to the entries: three to four of their announcements.
-AWAITED_SECONDS = 5.0
+READMISSION_WINDOW_SECONDS = 5.0
 # Seconds by which a time that was sent as an age may be off: what a message
 # takes between two voters, also where one of them is busy.
-AGE_ERROR = 0.2
+AGE_TOLERANCE_SECONDS = 0.2
 
 
 class Registry:
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        me: str,
+        own_address: str,
         table: TargetTable,
         entries: EntryDirectory,
         links: Links,
@@ -51,29 +51,29 @@
     ):
         self.epoch = secrets.token_hex(4)
         self.revision = 0
-        self._me = me
+        self._own_address = own_address
         self._table = table
         self._entries = entries
         self._links = links
         self._peers = peers
         self._clock = clock
         self._log = log
-        self._revisions: dict[str, int] = {}
-        self._news: dict[str, int] = {}
-        self._unshared: set[str] = set()
+        self._liveness_revisions: dict[str, int] = {}
+        self._content_revisions: dict[str, int] = {}
+        self._unsynced: set[str] = set()
 
     def announce(self, target: Target) -> None:
         """Take a target's own announcement.
 
         :param target: what it says; heard just now
         """
-        if not self._put(target):
+        if not self._merge_target(target):
             return
-        self._unshared.add(target.instance)
-        if self._news.get(target.instance) == self.revision:
-            self._tell(target)
+        self._unsynced.add(target.instance)
+        if self._content_revisions.get(target.instance) == self.revision:
+            self._broadcast(target)
 
-    def note_leaving(self, instance: str, born: int) -> None:
+    def mark_leaving(self, instance: str, born: int) -> None:
         """Take an entry's word that a target told it that it leaves.
 
         :param instance: the target's name
@@ -87,12 +87,12 @@
             # what it announces later is taken for what it is
             return
         self.revision += 1
-        _note_last(self._revisions, instance, self.revision)
-        _note_last(self._news, instance, self.revision)
-        self._unshared.add(instance)
-        self._tell(known)
+        _record_revision(self._liveness_revisions, instance, self.revision)
+        _record_revision(self._content_revisions, instance, self.revision)
+        self._unsynced.add(instance)
+        self._broadcast(known)
 
-    def _put(self, target: Target) -> bool:
+    def _merge_target(self, target: Target) -> bool:
         """Merge a target's word.
 
         :returns: whether it shows that the target lives. An older word, or
@@ -101,18 +101,24 @@
         """
         known = self._table.get(target.instance)
         heard = known.heard if known is not None else None
-        news = self._table.put(target) or self._is_awaited(target)
+        changed = self._table.put(target) or self._is_recently_readmitted(
+            target
+        )
         known = self._table.get(target.instance)
-        later = heard is None or known.heard > heard + AGE_ERROR
-        if not news and not (later and known.born == target.born):
+        is_newer = heard is None or known.heard > heard + AGE_TOLERANCE_SECONDS
+        if not changed and not (is_newer and known.born == target.born):
             return False
         self.revision += 1
-        _note_last(self._revisions, target.instance, self.revision)
-        if news:
-            _note_last(self._news, target.instance, self.revision)
+        _record_revision(
+            self._liveness_revisions, target.instance, self.revision
+        )
+        if changed:
+            _record_revision(
+                self._content_revisions, target.instance, self.revision
+            )
         return True
 
-    def _is_awaited(self, target: Target) -> bool:
+    def _is_recently_readmitted(self, target: Target) -> bool:
         """Tell whether entries wait for this word of a target.
 
         Those of a zone that was taken back count as cold until they speak.
@@ -120,9 +126,12 @@
         apart, so the next words all go to the entries.
         """
         at = self._table.zones.find_readmitted(target.zone)
-        return at is not None and 0 <= target.said - at < AWAITED_SECONDS
+        return (
+            at is not None
+            and 0 <= target.said - at < READMISSION_WINDOW_SECONDS
+        )
 
-    def leave(self, instance: str, born: int | None = None) -> None:
+    def deregister(self, instance: str, born: int | None = None) -> None:
         """Take a target's word that it ends.
 
         :param instance: that ends; nothing is kept of one that is not known
@@ -146,7 +155,7 @@
             )
         )
 
-    def _tell(self, target: Target) -> None:
+    def _broadcast(self, target: Target) -> None:
         self._log.info(
             "target_known",
             target=target.instance,
@@ -157,13 +166,13 @@
         )
         record = pack_target(target, self._clock.monotonic())
         notice = TargetNotice((record,))
-        for channel in self._entries.channels():
+        for channel in self._entries.list_channels():
             channel.send(notice)
         for peer in self._peers.all:
-            if peer != self._me:
+            if peer != self._own_address:
                 self._links.post(peer, notice)
 
-    def share(self) -> None:
+    def sync_peers(self) -> None:
         """Tell the other voters which targets were heard here lately.
 
         They hear of a target when it is new, and would forget one that
@@ -171,21 +180,21 @@
         tell entries of none of the long-lived ones.
         """
         now = self._clock.monotonic()
-        targets = [self._table.get(name) for name in sorted(self._unshared)]
-        self._unshared.clear()
+        targets = [self._table.get(name) for name in sorted(self._unsynced)]
+        self._unsynced.clear()
         records = [pack_target(t, now) for t in targets if t is not None]
         notice = TargetNotice(tuple(records))
         for peer in self._peers.all:
-            if records and peer != self._me:
+            if records and peer != self._own_address:
                 self._links.post(peer, notice)
 
     def merge(self, notice: TargetNotice) -> None:
         """Take what another voter heard."""
         now = self._clock.monotonic()
         for record in notice.records:
-            self._put(unpack_target(record, now))
+            self._merge_target(unpack_target(record, now))
 
-    def records_since(
+    def find_changed_records(
         self, epoch: str, revision: int
     ) -> tuple[TargetRecord, ...]:
         """Return what an entry lacks.
@@ -197,11 +206,11 @@
         now = self._clock.monotonic()
         if epoch != self.epoch:
             return tuple(pack_target(t, now) for t in self._table)
-        names = _find_newer(self._news, revision)
+        names = _find_newer(self._content_revisions, revision)
         targets = [self._table.get(name) for name in names]
         return tuple(pack_target(t, now) for t in targets if t is not None)
 
-    def heard_since(self, epoch: str, revision: int) -> tuple[str, ...]:
+    def find_live_names(self, epoch: str, revision: int) -> tuple[str, ...]:
         """Return which targets an entry should know to live.
 
         Names alone, as nothing else is new: what a voter tells grows as the
@@ -212,18 +221,20 @@
         """
         if epoch != self.epoch:
             return ()
-        return tuple(_find_newer(self._revisions, revision))
+        return tuple(_find_newer(self._liveness_revisions, revision))
 
-    def forget(self) -> None:
+    def expire(self) -> None:
         """Drop targets that have long been silent."""
         self._table.forget(self._clock.monotonic())
-        for instance in list(self._revisions):
+        for instance in list(self._liveness_revisions):
             if self._table.get(instance) is None:
-                del self._revisions[instance]
-                self._news.pop(instance, None)
+                del self._liveness_revisions[instance]
+                self._content_revisions.pop(instance, None)
 
 
-def _note_last(revisions: dict[str, int], name: str, revision: int) -> None:
+def _record_revision(
+    revisions: dict[str, int], name: str, revision: int
+) -> None:
     """Note a revision, and keep the dictionary in the order of these."""
     revisions.pop(name, None)
     revisions[name] = revision
--- a/packages/gateway/src/chivepier/gateway/control/knownstate.py
+++ b/packages/gateway/src/chivepier/gateway/control/statecache.py
@@ -22,13 +22,13 @@
 from chivepier.state.records import read_records
 from chivepier.types import Clock
 
-FILE = "known"
+FILE_NAME = "known"
 # Seconds between two writes: targets come and go all the time, and each
 # write takes the disk's sync.
-PAUSE_SECONDS = 1.0
+MIN_WRITE_INTERVAL_SECONDS = 1.0
 
 
-class KnownState:
+class StateCache:
     """Keeps the committed configuration and the targets beside the log.
 
     A voter that restarts does not know which entries of its log are
@@ -59,19 +59,19 @@
         self._ledger = ledger
         self._clock = clock
         self._log = log
-        self._changed = asyncio.Event()
-        table.watchers.append(lambda target, before: self._changed.set())
+        self._dirty = asyncio.Event()
+        table.watchers.append(lambda target, before: self._dirty.set())
 
     def load(self) -> StoredConfig | None:
         """Read the file: targets go to the table.
 
         :returns: the configuration, if one was known
         """
-        path = self._folder / FILE
+        path = self._folder / FILE_NAME
         if not path.exists():
             return None
         try:
-            payloads, _ = read_records(path.read_bytes(), FILE)
+            payloads, _ = read_records(path.read_bytes(), FILE_NAME)
             version, body, targets, *rest = cbor2.loads(payloads[0])
         except (DamagedError, IndexError, ValueError, OSError) as error:
             # it spares waiting only; what counts is in the log
@@ -81,11 +81,11 @@
         for fields in targets:
             self._table.put(unpack_target(TargetRecord(*fields), now))
         # a file of an earlier release has neither of the two
-        ends, orders = (*rest, (), ())[:2]
+        endings, orders = (*rest, (), ())[:2]
         for zone, index, evacuated in orders:
             order = ZoneOrder(zone, index, evacuated, now)
             self._table.zones.put(order)
-        for fields in ends:
+        for fields in endings:
             digest, instance, born, age, source, how = fields
             life = Life(instance, born)
             self._ledger.add(Ending(digest, life, now - age, source, how))
@@ -97,22 +97,24 @@
         :param store: the configuration
         """
         while True:
-            await self._changed.wait()
-            self._changed.clear()
+            await self._dirty.wait()
+            self._dirty.clear()
             data = pack_record(cbor2.dumps(self._pack(store)))
             try:
-                await asyncio.to_thread(write_synced, self._folder, FILE, data)
+                await asyncio.to_thread(
+                    write_synced, self._folder, FILE_NAME, data
+                )
             except OSError as error:
                 self._log.warn("known_state_unwritten", error=repr(error))
-            await self._clock.sleep(PAUSE_SECONDS)
+            await self._clock.sleep(MIN_WRITE_INTERVAL_SECONDS)
 
-    def note_change(self) -> None:
+    def mark_dirty(self) -> None:
         """Note a configuration that was committed, or what ended targets."""
-        self._changed.set()
+        self._dirty.set()
 
     def _pack(self, store: ConfigStore) -> tuple:
         now = self._clock.monotonic()
-        held = store.held()
+        config = store.find_committed()
         targets = []
         for target in self._table:
             record = pack_target(target, now)
@@ -132,7 +134,7 @@
                     record.born,
                 )
             )
-        ends = [
+        endings = [
             (e.digest, e.life.instance, e.life.born, now - e.seen)
             + (e.source, e.how)
             for digest in self._ledger.suspects
@@ -142,6 +144,6 @@
             (order.zone, order.index, order.evacuated)
             for order in self._table.zones.orders
         ]
-        if held is None:
-            return (-1, b"", targets, ends, orders)
-        return (held.version, held.body, targets, ends, orders)
+        if config is None:
+            return (-1, b"", targets, endings, orders)
+        return (config.version, config.body, targets, endings, orders)
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_entrydirectory.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_entrydirectory.py
@@ -34,14 +34,14 @@
         beat = EntryBeat(
             f"e{number}", f"{zone}-{number}:80", zone, ready, 1, "", 0
         )
-        directory.note(beat, FakeChannel())
+        directory.record_beat(beat, FakeChannel())
 
 
 def find_shares(directory) -> dict[str, float]:
     """Return what part of one caller a zone each entry gets."""
     shares: dict[str, float] = collections.defaultdict(float)
     for zone in ZONES:
-        given = directory.addresses(zone, MOST)
+        given = directory.list_addresses(zone, MOST)
         for address in given:
             shares[address] += 1 / len(given)
     return shares
@@ -59,7 +59,7 @@
 def test_most_addresses_lie_in_the_zone_of_the_caller():
     directory = make_directory(ManualClock())
     for zone in ZONES:
-        given = directory.addresses(zone, MOST)
+        given = directory.list_addresses(zone, MOST)
         near = [a for a in given if a.startswith(zone)]
         assert len(given) == len(set(given)) == MOST
         assert len(near) == 40
@@ -71,7 +71,7 @@
     clock = ManualClock()
     one, two = make_directory(clock), make_directory(clock)
     speak(one, range(100))
-    assert one.addresses("z1", MOST) == two.addresses("z1", MOST)
+    assert one.list_addresses("z1", MOST) == two.list_addresses("z1", MOST)
 
 
 def test_callers_of_a_zone_that_is_lost_are_given_all_the_others():
@@ -82,7 +82,7 @@
     clock.advance(1.3)
     speak(directory, [n for n in range(200) if n % 5])
     for zone in ZONES:
-        given = directory.addresses(zone, MOST)
+        given = directory.list_addresses(zone, MOST)
         assert len(given) == MOST
         assert not [a for a in given if a.startswith("z1")]
     assert len(find_shares(directory)) == 160
@@ -91,7 +91,7 @@
 def test_entries_that_leave_are_not_named():
     directory = make_directory(ManualClock())
     speak(directory, range(0, 200, 2), ready=False)
-    given = {a for z in ZONES for a in directory.addresses(z, MOST)}
+    given = {a for z in ZONES for a in directory.list_addresses(z, MOST)}
     numbers = {int(a.split("-")[1].split(":")[0]) for a in given}
     assert numbers == set(range(1, 200, 2))
 
@@ -101,7 +101,7 @@
     directory = make_directory(clock, 150, ("z1",))
     before, seen = None, set()
     for _ in range(20):
-        given = set(directory.addresses("z1", MOST))
+        given = set(directory.list_addresses("z1", MOST))
         assert len(given) == MOST
         if before is not None:
             assert len(given & before) >= MOST * 3 // 4
@@ -114,7 +114,7 @@
 
 def test_few_entries_are_all_named():
     directory = make_directory(ManualClock(), 57)
-    assert len(set(directory.addresses("z1", MOST))) == 57
+    assert len(set(directory.list_addresses("z1", MOST))) == 57
 
 
 REGIONS = {"z1": "north", "z2": "north", "z3": "south", "z4": "east"}
@@ -122,7 +122,7 @@
 
 def list_zones(directory, region: str, allowed) -> set[str]:
     """Name the zones of the entries that a caller of z1 is given."""
-    given = directory.addresses("z1", MOST, region, allowed)
+    given = directory.list_addresses("z1", MOST, region, allowed)
     return {address.partition("-")[0] for address in given}
 
 
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_followers.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_followers.py
@@ -36,7 +36,7 @@
         )
         await wait_until(lambda: follower.table.leaves("i1"))
         await wait_until(lambda: third.table.leaves("i1"))
-        third.registry.leave("i1")
+        third.registry.deregister("i1")
         await wait_until(
             lambda: follower.table.get("i1").state is TargetState.GONE
         )
@@ -54,7 +54,7 @@
         known = second.table.get("i1")
         known.heard = now - 5
         first.registry.announce(make("i1", heard=now + 1))
-        first.registry.share()
+        first.registry.sync_peers()
         await wait_until(lambda: second.table.get("i1").heard > now - 5)
 
     play(test, tmp_path)
@@ -93,7 +93,7 @@
         voter = fleet.voters[fleet.seeds[0]]
 
         def addresses():
-            return sorted(voter.entries.addresses())
+            return sorted(voter.entries.list_addresses())
 
         await wait_until(lambda: addresses() == ["e1:80", "e2:80"])
         leaving.following.leave()
@@ -229,15 +229,15 @@
         first, second, _ = (v.registry for v in fleet.voters.values())
         now = tell_time()
         first.announce(make("i1", number=9, heard=now - 5))
-        first.share()
+        first.sync_peers()
         await wait_until(lambda: second._table.get("i1") is not None)
         revision = second.revision
         first.announce(make("i1", number=1, heard=now))
-        first.share()
+        first.sync_peers()
         first.announce(make("i2", number=1, heard=now))
-        first.share()
+        first.sync_peers()
         await wait_until(lambda: second._table.get("i2") is not None)
-        heard = second.heard_since(second.epoch, revision)
+        heard = second.find_live_names(second.epoch, revision)
         assert list(heard) == ["i2"]
 
     play(test, tmp_path)
@@ -252,9 +252,9 @@
         registry.announce(make("i1", number=1, heard=now - 2, born=200))
         revision = registry.revision
         registry.announce(make("i1", number=9, heard=now, born=100))
-        assert registry.heard_since(registry.epoch, revision) == ()
+        assert registry.find_live_names(registry.epoch, revision) == ()
         registry.announce(make("i1", number=2, heard=now, born=200))
-        heard = registry.heard_since(registry.epoch, revision)
+        heard = registry.find_live_names(registry.epoch, revision)
         assert list(heard) == ["i1"]
 
     play(test, tmp_path)
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_late.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_late.py
@@ -12,8 +12,8 @@
 from chivepier.gateway.control.tests.fleet import play
 from chivepier.gateway.control.tests.fleet import wait_until
 from chivepier.gateway.control.tests.stalls import Stalls
-from chivepier.gateway.control.tests.test_permithub import make_cold
-from chivepier.gateway.control.tests.test_permithub import Sends
+from chivepier.gateway.control.tests.test_permitservice import make_cold
+from chivepier.gateway.control.tests.test_permitservice import Sends
 from chivepier.gateway.limits import RateLimit
 from chivepier.gateway.targets.tests.test_targettable import make
 from chivepier.standins.loopclock import tell_time
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_loadledger.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_loadledger.py
@@ -34,8 +34,8 @@
             LoadRecord(f"e{number}", f"i{t}", 1, 100, 10, 0) for t in range(31)
         )
         queues = (QueueRecord(f"e{number}", "llm", 1, 2),)
-        ledger.take(LoadNotice(records, queues), 0.0)
-    own, summed = ledger.read(), ledger.sum_up()
+        ledger.receive(LoadNotice(records, queues), 0.0)
+    own, summed = ledger.copy_reports(), ledger.aggregate()
     assert len(own.records) == 38 * 31 and len(summed.records) == 31
     record = summed.records[("v1", "i5")]
     assert (record.runs, record.tokens, record.reading) == (38, 3800, 380)
@@ -45,12 +45,12 @@
 def test_entry_that_fell_silent_counts_no_more():
     ledger = LoadLedger("v1")
     record = LoadRecord("e1", "i1", 1, 100, 0, 0)
-    ledger.take(LoadNotice((record,)), 0.0)
+    ledger.receive(LoadNotice((record,)), 0.0)
     ledger.expire(3.4)
-    assert ledger.read() and ledger.sum_up()
+    assert ledger.copy_reports() and ledger.aggregate()
     ledger.expire(3.5)
-    assert not ledger.read() and not ledger.sum_up()
-    changes, sums = ledger.take_changes()
+    assert not ledger.copy_reports() and not ledger.aggregate()
+    changes, sums = ledger.pop_changes()
     assert list(changes.records.values()) == [EMPTY]
     assert sums.records[("v1", "i1")] == LoadRecord("v1", "i1", 0, 0, 0, 0)
 
@@ -59,21 +59,21 @@
     ledger = LoadLedger("v1")
     record = LoadRecord("e1", "i1", 1, 100, 0, 0)
     queue = QueueRecord("e1", "llm", 1, 2)
-    ledger.take(LoadNotice((record,), (queue,)), 0.0)
-    ledger.drop("e1")
-    assert not ledger.read() and not ledger.sum_up()
+    ledger.receive(LoadNotice((record,), (queue,)), 0.0)
+    ledger.drop_entry("e1")
+    assert not ledger.copy_reports() and not ledger.aggregate()
 
 
 def test_what_is_said_again_is_no_change():
     ledger = LoadLedger("v1")
     record = LoadRecord("e1", "i1", 1, 100, 0, 0)
-    ledger.take(LoadNotice((record,)), 0.0)
-    ledger.take_changes()
-    ledger.take(LoadNotice((record,)), 1.0)
-    changes, sums = ledger.take_changes()
+    ledger.receive(LoadNotice((record,)), 0.0)
+    ledger.pop_changes()
+    ledger.receive(LoadNotice((record,)), 1.0)
+    changes, sums = ledger.pop_changes()
     assert not changes and not sums
     ledger.expire(4.0)
-    assert ledger.read()
+    assert ledger.copy_reports()
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
@@ -83,12 +83,12 @@
 def test_changes_alone_lead_to_the_same_sums(rounds):
     ledger, heard, heard_sums = LoadLedger("v1"), LoadState(), LoadState()
     for records in rounds:
-        ledger.take(LoadNotice(tuple(records)), 0.0)
-        changes, sums = ledger.take_changes()
+        ledger.receive(LoadNotice(tuple(records)), 0.0)
+        changes, sums = ledger.pop_changes()
         heard.add(changes)
         heard_sums.add(sums)
-        assert prune(heard) == prune(ledger.read())
-        assert prune(heard_sums) == prune(ledger.sum_up())
+        assert prune(heard) == prune(ledger.copy_reports())
+        assert prune(heard_sums) == prune(ledger.aggregate())
 
 
 def prune(state: LoadState) -> dict:
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_seats.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_membership.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from chivepier.gateway.control.seats import Seats
+from chivepier.gateway.control.membership import Membership
 from chivepier.gateway.eventlog import EventLog
 from chivepier.gateway.following import Peers
 from chivepier.gateway.messages import JoinAnswer
@@ -29,7 +29,9 @@
         self._lines = tempfile.TemporaryFile()
         log = EventLog("n1", self._lines.fileno(), lambda: 0.0)
         peers = Peers(PEERS)
-        self.seats = Seats(self, "10.0.0.1:7", self, peers, ManualClock(), log)
+        self.membership = Membership(
+            self, "10.0.0.1:7", self, peers, ManualClock(), log
+        )
 
     def leads(self) -> bool:
         """Never lead."""
@@ -49,7 +51,7 @@
     def look(self, rounds: int) -> list[bool]:
         """Ask in several rounds; return what was logged of the vote."""
         for _ in range(rounds):
-            asyncio.run(self.seats._look())
+            asyncio.run(self.membership._check_membership())
         self._lines.seek(0)
         return [json.loads(line)["votes"] for line in self._lines]
 
@@ -80,7 +82,7 @@
         self.changes = self
         self.clock = ManualClock()
         log = EventLog("v0", os.open(os.devnull, os.O_WRONLY))
-        self.seats = Seats(
+        self.membership = Membership(
             self, "10.0.0.0:7", self, Peers(()), self.clock, log
         )
 
@@ -102,7 +104,7 @@
     def play(self, seconds: float) -> int:
         """Look at the seats each second; return how many voters are left."""
         for _ in range(int(seconds)):
-            asyncio.run(self.seats._look())
+            asyncio.run(self.membership._check_membership())
             self.clock.advance(1.0)
         return len(self.voters)
 
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_permithub.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_permitservice.py
@@ -9,7 +9,7 @@
 import pytest
 
 from chivepier.gateway.config import Service
-from chivepier.gateway.control.permithub import PermitHub
+from chivepier.gateway.control.permitservice import PermitService
 from chivepier.gateway.control.tests.fleet import play
 from chivepier.gateway.control.tests.fleet import wait_until
 from chivepier.gateway.eventlog import EventLog
@@ -169,7 +169,7 @@
         """Return when it began to lead."""
         return self._since
 
-    async def ask(self, request, seconds, handle):
+    async def request(self, request, seconds, handle):
         """Answer here."""
         return await handle(request)
 
@@ -189,7 +189,7 @@
     clock = ManualClock()
     clock.advance(10.0)
     log = EventLog("v1", os.open(os.devnull, os.O_WRONLY))
-    hub = PermitHub(Lead(since), clock, log, random.Random(1))
+    hub = PermitService(Lead(since), clock, log, random.Random(1))
     answer = asyncio.run(hub.handle(PermitRequest("i1", 5)))
     assert answer.granted is granted
 
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_voters.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_voters.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from chivepier.gateway.control.founding import IDENTITY_FILE
+from chivepier.gateway.control.bootstrap import IDENTITY_FILE
 from chivepier.gateway.control.tests.fleet import play
 from chivepier.gateway.control.tests.fleet import wait_until
 from chivepier.gateway.targets import TargetState
@@ -70,7 +70,7 @@
         await fleet.write(3, "kept")
         first = fleet.voters[fleet.seeds[0]]
         # a follower learns with the next heartbeat that it is committed
-        await wait_until(lambda: first.store.held() is not None)
+        await wait_until(lambda: first.store.find_committed() is not None)
         first.registry.announce(make("i1", heard=0.0))
         known = fleet.find_folder(fleet.seeds[0]) / "known"
         await wait_until(
@@ -79,7 +79,7 @@
         for address in fleet.seeds:
             await fleet.stop(address)
         alone = await fleet.start(fleet.seeds[0])
-        assert alone.store.held().body == b"3 kept"
+        assert alone.store.find_committed().body == b"3 kept"
         assert alone.table.get("i1").state is TargetState.READY
         follower = await fleet.follow("e1")
         await wait_until(lambda: follower.state.index is not None)
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_zonestore.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_zonestore.py
@@ -14,7 +14,7 @@
 
 async def order(voter, zone: str, evacuated: bool) -> None:
     """Give an order until it is acknowledged."""
-    while not await voter.orders.give(zone, evacuated):
+    while not await voter.orders.submit(zone, evacuated):
         await asyncio.sleep(0.01)
 
 
@@ -121,10 +121,10 @@
         for address in fleet.seeds[1:]:
             await fleet.stop(address)
         alone = fleet.voters[fleet.seeds[0]]
-        while await alone.orders.give("z1", True):
+        while await alone.orders.submit("z1", True):
             # its lease as the leader may last for a moment more
             pass
-        assert not await alone.orders.give("z1", True)
+        assert not await alone.orders.submit("z1", True)
 
     play(test, tmp_path)
 
@@ -138,13 +138,13 @@
         stale = frozen.orders.prepare("z0", True)
         await order(other, "z0", False)
         leader = fleet.find_leader()
-        request = ZoneRequest(stale.zone, stale.evacuated, stale.base)
+        request = ZoneRequest(stale.zone, stale.evacuated, stale.base_index)
         answer = await leader.orders.handle(request)
-        assert not answer.accepted and answer.index > stale.base
+        assert not answer.accepted and answer.index > stale.base_index
         # the first order once more, as it was sent then
         answer = await leader.orders.handle(ZoneRequest("z0", True, 0))
         assert not answer.accepted
-        assert not await frozen.orders.carry_out(stale, lambda: False)
+        assert not await frozen.orders.commit(stale, lambda: False)
         assert not leader.zones.is_evacuated("z0")
 
     play(test, tmp_path)
@@ -157,7 +157,7 @@
         voter = fleet.voters[fleet.seeds[0]]
         await order(voter, "z0", False)
         late = voter.orders.prepare("z0", True)
-        assert not await voter.orders.carry_out(late, lambda: False)
+        assert not await voter.orders.commit(late, lambda: False)
         await order(voter, "z1", True)
         assert not voter.zones.is_evacuated("z0")
 
--- a/packages/gateway/src/chivepier/gateway/control/voter.py
+++ b/packages/gateway/src/chivepier/gateway/control/voter.py
@@ -4,19 +4,19 @@
 import contextlib
 import random
 
+from chivepier.gateway.control.bootstrap import open_data_dir
 from chivepier.gateway.control.configstore import ConfigStore
 from chivepier.gateway.control.entrydirectory import EntryDirectory
-from chivepier.gateway.control.founding import open_folder
 from chivepier.gateway.control.hostregions import DecodeHostRegions
 from chivepier.gateway.control.hostregions import HostRegions
-from chivepier.gateway.control.knownstate import KnownState
-from chivepier.gateway.control.leaderlink import LeaderLink
-from chivepier.gateway.control.limithub import LimitHub
-from chivepier.gateway.control.loadhub import LoadHub
-from chivepier.gateway.control.permithub import PermitHub
-from chivepier.gateway.control.quarantinehub import QuarantineHub
+from chivepier.gateway.control.leaderclient import LeaderClient
+from chivepier.gateway.control.limitrelay import LimitRelay
+from chivepier.gateway.control.loadrelay import LoadRelay
+from chivepier.gateway.control.membership import Membership
+from chivepier.gateway.control.permitservice import PermitService
+from chivepier.gateway.control.quarantinerelay import QuarantineRelay
 from chivepier.gateway.control.registry import Registry
-from chivepier.gateway.control.seats import Seats
+from chivepier.gateway.control.statecache import StateCache
 from chivepier.gateway.control.zonestore import ZoneStore
 from chivepier.gateway.eventlog import EventLog
 from chivepier.gateway.following import Peers
@@ -52,9 +52,9 @@
 
 # Seconds between two tellings of which targets live; entries leave out those
 # that have missed several announcements.
-SHARE_SECONDS = 1.0
+TARGET_SYNC_INTERVAL_SECONDS = 1.0
 # Seconds between two rounds of dropping what has long been silent.
-FORGET_SECONDS = 5.0
+EXPIRY_INTERVAL_SECONDS = 5.0
 
 
 class Voter:
@@ -82,22 +82,22 @@
         self.entries = EntryDirectory(clock, settings.regions)
         self.zones = Zones(settings.regions)
         self.table = TargetTable(settings.beat, self.zones)
-        self.quarantine = QuarantineHub(self._find_followers, clock, log)
-        self.limits = LimitHub(self._find_followers, clock, log)
-        self._known = KnownState(
+        self.quarantine = QuarantineRelay(self._find_followers, clock, log)
+        self.limits = LimitRelay(self._find_followers, clock, log)
+        self._state_cache = StateCache(
             settings.folder, self.table, self.quarantine.ledger, clock, log
         )
-        self.loads: LoadHub | None = None
+        self.loads: LoadRelay | None = None
         self.replica: Replica | None = None
         self.store: ConfigStore | None = None
         self.orders: ZoneStore | None = None
-        self.permits: PermitHub | None = None
+        self.permits: PermitService | None = None
         self.host_regions: HostRegions | None = None
         self.registry: Registry | None = None
-        self.seats: Seats | None = None
+        self.membership: Membership | None = None
 
     def _find_followers(self) -> list[Channel]:
-        return self.loads.channels() if self.loads else []
+        return self.loads.list_channels() if self.loads else []
 
     async def __aenter__(self) -> "Voter":
         settings = self._settings
@@ -116,7 +116,7 @@
             server.faults,
             self._clock,
         )
-        identity, storage = await open_folder(settings)
+        identity, storage = await open_data_dir(settings)
         self._stack.callback(storage.close)
         self.replica = Replica(
             identity.node,
@@ -128,19 +128,19 @@
             random.Random(identity.node),
             identity.cluster,
         )
-        self._assemble(links)
+        self._build_components(links)
         self.orders.presume(storage.entries)
-        self.orders.follow()
+        self.orders.apply_committed()
         await self._stack.enter_async_context(links)
         await self._stack.enter_async_context(self.replica)
         await self._stack.enter_async_context(server)
         for work in (
-            self.seats.run(),
-            self._announce(),
-            self._share(),
-            self._forget(),
+            self.membership.run(),
+            self._push_changes(),
+            self._sync_targets(),
+            self._expire(),
             self.loads.run(),
-            self._known.run(self.store),
+            self._state_cache.run(self.store),
         ):
             task = asyncio.create_task(work)
             self._stack.callback(task.cancel)
@@ -156,22 +156,24 @@
     async def __aexit__(self, *exc) -> None:
         await self._stack.aclose()
 
-    def _assemble(self, links: Links) -> None:
-        me = self._settings.address
+    def _build_components(self, links: Links) -> None:
+        own_address = self._settings.address
         clock, log, peers = self._clock, self._log, self.peers
-        leader = LeaderLink(self.replica, links)
+        leader = LeaderClient(self.replica, links)
         self.store = ConfigStore(leader, clock, log)
         self.orders = ZoneStore(leader, self.zones, clock, log)
-        self.permits = PermitHub(leader, clock, log, random.Random())
+        self.permits = PermitService(leader, clock, log, random.Random())
         self.host_regions = HostRegions(
             self.store, self._decode_host_regions, log
         )
-        self.store.use_known(self._known.load())
+        self.store.load_cached(self._state_cache.load())
         self.registry = Registry(
-            me, self.table, self.entries, links, peers, clock, log
+            own_address, self.table, self.entries, links, peers, clock, log
+        )
+        self.loads = LoadRelay(own_address, peers, links, clock)
+        self.membership = Membership(
+            self.replica, own_address, links, peers, clock, log
         )
-        self.loads = LoadHub(me, peers, links, clock)
-        self.seats = Seats(self.replica, me, links, peers, clock, log)
 
     def _handle(self, message, channel: Channel):
         match message:
@@ -186,9 +188,9 @@
             case TargetNotice():
                 return self.registry.merge(message)
             case LoadNotice():
-                return self.loads.take(message)
+                return self.loads.receive(message)
             case LoadDigest():
-                return self.loads.take_digest(message)
+                return self.loads.receive_digest(message)
             case ConfigRequest() | WriteRequest():
                 return self.store.handle(message)
             case ZoneRequest():
@@ -196,46 +198,46 @@
             case PermitRequest():
                 return self.permits.handle(message)
             case JoinRequest():
-                return self.seats.handle(message)
+                return self.membership.handle(message)
             case other:
                 raise RefusedError(f"unexpected {type(other).__name__}")
 
     def _handle_beat(
         self, beat: EntryBeat, channel: Channel
     ) -> EntryBeatAnswer:
-        if self.entries.note(beat, channel):
+        if self.entries.record_beat(beat, channel):
             self._log.info(
                 "entry_known", entry=beat.node, address=beat.address
             )
-        self.loads.note_entry(beat.node, channel, beat.follows)
-        held = self.store.held()
+        self.loads.update_follower(beat.node, channel, beat.follows)
+        config = self.store.find_committed()
         voters: tuple[str, ...] = ()
-        heard: tuple[str, ...] = ()
+        live_targets: tuple[str, ...] = ()
         if beat.follows:
             registry = self.registry
-            heard = registry.heard_since(beat.epoch, beat.revision)
+            live_targets = registry.find_live_names(beat.epoch, beat.revision)
         if beat.follows or beat.epoch != self.registry.epoch:
             voters = tuple(v.address for v in self.replica.voters)
             voters = voters or self.peers.voters
-        seen = QuarantineNotice(beat.endings, beat.clearances)
-        if self.quarantine.take(seen):
-            self._known.note_change()
-        self.limits.take(beat.limits)
+        observed = QuarantineNotice(beat.endings, beat.clearances)
+        if self.quarantine.receive(observed):
+            self._state_cache.mark_dirty()
+        self.limits.receive(beat.limits)
         for record in beat.leaving:
-            self.registry.note_leaving(record.instance, record.born)
+            self.registry.mark_leaving(record.instance, record.born)
         missing = self.quarantine.find_missing(beat, self.registry.epoch)
-        group = self.loads.find_group()
+        reachable = self.loads.find_reachable_voters()
         return EntryBeatAnswer(
             self.registry.epoch,
             self.registry.revision,
-            held.version if held else -1,
+            config.version if config else -1,
             self.entries.count(),
             voters,
-            self.registry.records_since(beat.epoch, beat.revision),
+            self.registry.find_changed_records(beat.epoch, beat.revision),
             self._settings.zone,
-            len(group),
-            group[0],
-            heard,
+            len(reachable),
+            reachable[0],
+            live_targets,
             self.quarantine.ledger.revision,
             missing.endings,
             missing.clearances,
@@ -258,35 +260,35 @@
             return True
         return any(target.zone == zone for target in self.table)
 
-    async def _announce(self) -> None:
+    async def _push_changes(self) -> None:
         """Tell the entries of each new configuration and order at once."""
-        told = -1
+        pushed_version = -1
         while True:
-            if self.orders.follow():
-                self._known.note_change()
+            if self.orders.apply_committed():
+                self._state_cache.mark_dirty()
                 notice = ZoneNotice(self._find_orders(-1))
-                for channel in self.entries.channels():
+                for channel in self.entries.list_channels():
                     channel.send(notice)
-            held = self.store.held()
-            if held is not None and held.version > told:
-                told = held.version
-                self._log.info("configuration_known", version=told)
-                self._known.note_change()
-                notice = ConfigNotice(told)
-                for channel in self.entries.channels():
+            config = self.store.find_committed()
+            if config is not None and config.version > pushed_version:
+                pushed_version = config.version
+                self._log.info("configuration_known", version=pushed_version)
+                self._state_cache.mark_dirty()
+                notice = ConfigNotice(pushed_version)
+                for channel in self.entries.list_channels():
                     channel.send(notice)
             self.peers.learn(v.address for v in self.replica.voters)
             await self.replica.machine.changed.wait(1.0)
 
-    async def _share(self) -> None:
+    async def _sync_targets(self) -> None:
         while True:
-            await self._clock.sleep(SHARE_SECONDS)
-            self.registry.share()
+            await self._clock.sleep(TARGET_SYNC_INTERVAL_SECONDS)
+            self.registry.sync_peers()
 
-    async def _forget(self) -> None:
+    async def _expire(self) -> None:
         while True:
-            await self._clock.sleep(FORGET_SECONDS)
-            self.entries.forget()
-            self.registry.forget()
+            await self._clock.sleep(EXPIRY_INTERVAL_SECONDS)
+            self.entries.expire()
+            self.registry.expire()
             self.quarantine.expire()
             self.limits.board.expire(t.instance for t in self.table)
--- a/packages/gateway/src/chivepier/gateway/control/zonestore.py
+++ b/packages/gateway/src/chivepier/gateway/control/zonestore.py
@@ -4,7 +4,7 @@
 
 import cbor2
 
-from chivepier.gateway.control.leaderlink import LeaderLink
+from chivepier.gateway.control.leaderclient import LeaderClient
 from chivepier.gateway.control.preparedorder import PreparedOrder
 from chivepier.gateway.eventlog import EventLog
 from chivepier.gateway.messages import ZoneAnswer
@@ -21,15 +21,15 @@
 from chivepier.types import Clock
 from chivepier.wire import LinkError
 
-KIND = "zone"
+DOCUMENT_KIND = "zone"
 # Seconds for which a node looks for a leader on behalf of an operator, who
 # turns to another node after one second.
-SEARCH_SECONDS = 0.9
+LEADER_SEARCH_SECONDS = 0.9
 # Seconds between two looks for a leader; a vote takes some tens of ms.
-SEARCH_PAUSE = 0.05
+LEADER_RETRY_SECONDS = 0.05
 # Seconds after which the end of a connection that had come with an order has
 # been noticed: some rounds of the event loop.
-SENDER_SECONDS = 0.02
+DISCONNECT_NOTICE_SECONDS = 0.02
 
 
 class ZoneStore:
@@ -54,14 +54,14 @@
     """
 
     def __init__(
-        self, leader: LeaderLink, zones: Zones, clock: Clock, log: EventLog
+        self, leader: LeaderClient, zones: Zones, clock: Clock, log: EventLog
     ):
         self._leader = leader
         self._zones = zones
         self._clock = clock
         self._log = log
         self._presumed: tuple[str, ...] = ()
-        self._tail = (0, 0)
+        self._log_end = (0, 0)
 
     @property
     def _machine(self):
@@ -78,19 +78,19 @@
         """
         last, presumed = None, set()
         for last in entries:
-            for zone, evacuated in _find_orders(last):
+            for zone, evacuated in _decode_orders(last):
                 if evacuated:
                     presumed.add(zone)
         if last is None:
             return
-        self._tail = (last.term, last.index)
+        self._log_end = (last.term, last.index)
         self._presumed = tuple(sorted(presumed))
         for zone in self._presumed:
             self._zones.presume(zone, float("inf"))
 
     def find_presumed(self) -> tuple[str, ...]:
         """Return the zones whose orders have no known outcome yet."""
-        term, index = self._tail
+        term, index = self._log_end
         machine = self._machine
         # an entry of a later term, or the log's end, is applied: whatever
         # was committed before is applied, too
@@ -100,20 +100,20 @@
             self._presumed = ()
         return self._presumed
 
-    def follow(self) -> bool:
+    def apply_committed(self) -> bool:
         """Take what was committed since.
 
         :returns: whether there was any order among it
         """
-        news = False
+        changed = False
         now = self._clock.monotonic()
         for (kind, zone), document in list(self._machine.documents.items()):
-            if kind != KIND:
+            if kind != DOCUMENT_KIND:
                 continue
             evacuated = bool(cbor2.loads(document.spec))
             order = ZoneOrder(zone, document.version, evacuated, now)
             if self._zones.put(order):
-                news = True
+                changed = True
                 self._log.info(
                     "evacuation_stored",
                     zone=zone,
@@ -121,12 +121,12 @@
                     index=document.version,
                 )
         self.find_presumed()
-        return news
+        return changed
 
-    async def give(self, zone: str, evacuated: bool) -> bool:
-        """Carry out an order; see :meth:`carry_out`."""
+    async def submit(self, zone: str, evacuated: bool) -> bool:
+        """Carry out an order; see :meth:`commit`."""
         order = self.prepare(zone, evacuated)
-        return await self.carry_out(order, lambda: True)
+        return await self.commit(order, lambda: True)
 
     def prepare(self, zone: str, evacuated: bool) -> PreparedOrder:
         """Note what is known of a zone when an order about it comes.
@@ -138,8 +138,10 @@
         now = self._clock.monotonic()
         return PreparedOrder(zone, evacuated, known.index if known else 0, now)
 
-    async def carry_out(
-        self, order: PreparedOrder, waits: collections.abc.Callable[[], bool]
+    async def commit(
+        self,
+        order: PreparedOrder,
+        is_waiting: collections.abc.Callable[[], bool],
     ) -> bool:
         """Write an order to the log.
 
@@ -147,25 +149,27 @@
         :param waits: whether its sender still waits for the answer
         :returns: whether it is in force for good; if not, it may be
         """
-        await self._clock.sleep(SENDER_SECONDS)
-        if not waits():
+        await self._clock.sleep(DISCONNECT_NOTICE_SECONDS)
+        if not is_waiting():
             self._log.warn("order_dropped", zone=order.zone)
             return False
-        deadline = order.arrived + SEARCH_SECONDS
-        base = order.base
-        while (left := deadline - self._clock.monotonic()) > 0:
+        deadline = order.received_at + LEADER_SEARCH_SECONDS
+        base = order.base_index
+        while (remaining := deadline - self._clock.monotonic()) > 0:
             request = ZoneRequest(order.zone, order.evacuated, base)
             try:
-                answer = await self._leader.ask(request, left, self.handle)
+                answer = await self._leader.request(
+                    request, remaining, self.handle
+                )
             except (LinkError, TimeoutError) as error:
                 self._log.warn("order_lost", zone=order.zone, error=str(error))
-                await self._clock.sleep(SEARCH_PAUSE)
+                await self._clock.sleep(LEADER_RETRY_SECONDS)
                 continue
             if answer.accepted:
                 return True
             if not answer.index:
-                await self._clock.sleep(SEARCH_PAUSE)
-            elif waits():
+                await self._clock.sleep(LEADER_RETRY_SECONDS)
+            elif is_waiting():
                 # it was this node that knew too little
                 base = answer.index
             else:
@@ -180,21 +184,23 @@
         :returns: the answer; unsure when this node does not lead
         """
         try:
-            await self._leader.catch_up()
-            document = self._machine.documents.get((KIND, request.zone))
+            await self._leader.wait_for_commits()
+            document = self._machine.documents.get(
+                (DOCUMENT_KIND, request.zone)
+            )
             if document is not None:
                 if bool(cbor2.loads(document.spec)) is request.evacuated:
                     return ZoneAnswer(True)
-                if document.version != request.base:
+                if document.version != request.base_index:
                     return ZoneAnswer(False, document.version)
-            elif request.base:
+            elif request.base_index:
                 return ZoneAnswer(False)
             answer = await self._propose(request)
         except (NotLeaderError, LostLeadError) as error:
             self._log.warn("order_unsure", zone=request.zone, why=repr(error))
             return ZoneAnswer(False)
         if answer.error:
-            found = self._machine.documents.get((KIND, request.zone))
+            found = self._machine.documents.get((DOCUMENT_KIND, request.zone))
             return ZoneAnswer(False, found.version if found else 0)
         return ZoneAnswer(True)
 
@@ -203,21 +209,21 @@
         # one change for each order that it follows: a repeat of this one
         # gets the same answer
         verb = "evacuate" if request.evacuated else "readmit"
-        name = f"{verb}-{request.zone}-{request.base}"
-        edit = Edit(KIND, request.zone, request.base, spec)
+        name = f"{verb}-{request.zone}-{request.base_index}"
+        edit = Edit(DOCUMENT_KIND, request.zone, request.base_index, spec)
         command = ChangeCommand(name, "", (edit,))
         return await self._leader.replica.propose(encode(command))
 
 
-def _find_orders(
+def _decode_orders(
     entry: Entry,
 ) -> collections.abc.Iterator[tuple[str, bool]]:
     # most entries hold whole configurations: these are not read
-    if KIND.encode() not in entry.command:
+    if DOCUMENT_KIND.encode() not in entry.command:
         return
     command = decode(entry.command)
     if not isinstance(command, ChangeCommand):
         return
     for edit in command.edits:
-        if edit.kind == KIND and edit.spec is not None:
+        if edit.kind == DOCUMENT_KIND and edit.spec is not None:
             yield edit.name, bool(cbor2.loads(edit.spec))
--- a/packages/gateway/src/chivepier/gateway/following/following.py
+++ b/packages/gateway/src/chivepier/gateway/following/following.py
@@ -215,7 +215,7 @@
             return None
         try:
             answer = await self._links.request(
-                self._hub.address, request, request.lapse
+                self._hub.address, request, request.permit_seconds
             )
         except LinkError as error:
             self._log.warn(
@@ -292,8 +292,10 @@
         self, address: str, voter: FollowedVoter, answer: EntryBeatAnswer
     ) -> None:
         self._merge(answer.records)
-        self._table.note_heard(answer.heard, self._clock.monotonic())
-        voter.standing = VoterStanding(answer.zone, answer.hears, answer.group)
+        self._table.note_heard(answer.live_targets, self._clock.monotonic())
+        voter.standing = VoterStanding(
+            answer.zone, answer.reachable_voters, answer.first_voter
+        )
         self._choose_hub()
         voter.epoch, voter.revision = answer.epoch, answer.revision
         self._state.entries = max(1, answer.entries)
@@ -320,7 +322,7 @@
     ) -> None:
         notice = QuarantineNotice(answer.endings, answer.clearances)
         self._suspects.take(notice)
-        voter.held = answer.held
+        voter.held = answer.quarantine_revision
 
     def _merge(self, records: tuple[TargetRecord, ...]) -> None:
         now = self._clock.monotonic()
--- a/packages/gateway/src/chivepier/gateway/following/limitexchange.py
+++ b/packages/gateway/src/chivepier/gateway/following/limitexchange.py
@@ -75,5 +75,5 @@
             ``None`` where it started anew since the beat was composed
         """
         standing.told = told
-        standing.held = answer.limits_held
+        standing.held = answer.limits_revision
         self.take(answer.limits)
--- a/packages/gateway/src/chivepier/gateway/following/loadexchange.py
+++ b/packages/gateway/src/chivepier/gateway/following/loadexchange.py
@@ -99,7 +99,10 @@
             instance = record.instance
             told = self._told.get(instance)
             idle = not (
-                record.runs or record.tokens or record.turn or record.avoiding
+                record.runs
+                or record.tokens
+                or record.copy_ms
+                or record.avoiding
             )
             if again or told != record:
                 if not idle or told is not None:
--- a/packages/gateway/src/chivepier/gateway/messages/configanswer.py
+++ b/packages/gateway/src/chivepier/gateway/messages/configanswer.py
@@ -14,8 +14,8 @@
 
     known: bool
     version: int
-    packed: bytes
+    compressed_body: bytes
 
     def unpack(self) -> bytes:
         """Return the body, byte for byte as it was sent."""
-        return zlib.decompress(self.packed)
+        return zlib.decompress(self.compressed_body)
--- a/packages/gateway/src/chivepier/gateway/messages/entrybeat.py
+++ b/packages/gateway/src/chivepier/gateway/messages/entrybeat.py
@@ -31,10 +31,10 @@
     epoch: str
     revision: int
     follows: bool = False
-    held: int = 0
+    quarantine_revision: int = 0
     endings: tuple[EndingRecord, ...] = ()
     clearances: tuple[ClearanceRecord, ...] = ()
     orders: int = -1
-    limits_held: int = 0
+    limits_revision: int = 0
     limits: tuple[LimitRecord, ...] = ()
     leaving: tuple[LeavingRecord, ...] = ()
--- a/packages/gateway/src/chivepier/gateway/messages/entrybeatanswer.py
+++ b/packages/gateway/src/chivepier/gateway/messages/entrybeatanswer.py
@@ -31,13 +31,13 @@
     voters: tuple[str, ...]
     records: tuple[TargetRecord, ...]
     zone: str = ""
-    hears: int = 0
-    group: str = ""
-    heard: tuple[str, ...] = ()
-    held: int = 0
+    reachable_voters: int = 0
+    first_voter: str = ""
+    live_targets: tuple[str, ...] = ()
+    quarantine_revision: int = 0
     endings: tuple[EndingRecord, ...] = ()
     clearances: tuple[ClearanceRecord, ...] = ()
     orders: tuple[ZoneRecord, ...] = ()
     presumed: tuple[str, ...] = ()
-    limits_held: int = 0
+    limits_revision: int = 0
     limits: tuple[LimitRecord, ...] = ()
--- a/packages/gateway/src/chivepier/gateway/messages/loadrecord.py
+++ b/packages/gateway/src/chivepier/gateway/messages/loadrecord.py
@@ -20,7 +20,7 @@
     runs: int
     tokens: int
     reading: int
-    turn: int
+    copy_ms: int
     copying: bool = False
     receiving: int = 0
     avoiding: int = 0
--- a/packages/gateway/src/chivepier/gateway/messages/permitanswer.py
+++ b/packages/gateway/src/chivepier/gateway/messages/permitanswer.py
@@ -13,4 +13,4 @@
 
     granted: bool
     wait: float = 0.0
-    led: bool = True
+    has_leader: bool = True
--- a/packages/gateway/src/chivepier/gateway/messages/permitrequest.py
+++ b/packages/gateway/src/chivepier/gateway/messages/permitrequest.py
@@ -16,9 +16,9 @@
     """
 
     instance: str
-    most: int
+    cold_limit: int
     rate: float = -1.0
     team: str = ""
     urgency: int = 0
-    patience: float = 0.0
-    lapse: float = 0.25
+    max_wait: float = 0.0
+    permit_seconds: float = 0.25
--- a/packages/gateway/src/chivepier/gateway/messages/zonerequest.py
+++ b/packages/gateway/src/chivepier/gateway/messages/zonerequest.py
@@ -13,4 +13,4 @@
 
     zone: str
     evacuated: bool
-    base: int
+    base_index: int
--- a/packages/gateway/src/chivepier/gateway/permits/leader.py
+++ b/packages/gateway/src/chivepier/gateway/permits/leader.py
@@ -61,7 +61,7 @@
         """
         question = Question(key, self._clock.monotonic(), self.lapse)
         work = self._await_answer(
-            question, attrs.evolve(request, lapse=question.lapse)
+            question, attrs.evolve(request, permit_seconds=question.lapse)
         )
         task = asyncio.create_task(work)
         self._tasks.add(task)
@@ -82,7 +82,7 @@
         if answer is None:
             self.unanswered_at = now
             self._learn(question.lapse)
-            return PermitAnswer(False, led=False)
+            return PermitAnswer(False, has_leader=False)
         self._learn(now - question.asked)
         if answer.granted and not question.awaited:
             self._keep(question, answer.wait)
--- a/packages/gateway/src/chivepier/gateway/permits/permits.py
+++ b/packages/gateway/src/chivepier/gateway/permits/permits.py
@@ -203,7 +203,7 @@
             if self._alone:
                 return self._claim_without(target, claim, rate, cold)
             return Turn(False, REFUSED_SECONDS)
-        if not answer.led:
+        if not answer.has_leader:
             return self._claim_without(target, claim, rate, cold)
         self._alone, self._entries = False, self._count_entries()
         return self._read_answer(answer, rate, question.lapse)
--- a/packages/gateway/src/chivepier/gateway/permits/tests/test_leader.py
+++ b/packages/gateway/src/chivepier/gateway/permits/tests/test_leader.py
@@ -32,8 +32,8 @@
     async def _answer(self, request: PermitRequest) -> PermitAnswer | None:
         await self.clock.sleep(self.seconds / 2)
         now = self.clock.monotonic()
-        granted = self.ledger.grant("i1", MOST, now, request.lapse)
-        self.lapses.append(request.lapse)
+        granted = self.ledger.grant("i1", MOST, now, request.permit_seconds)
+        self.lapses.append(request.permit_seconds)
         await self.clock.sleep(self.seconds / 2)
         return PermitAnswer(granted)
 
--- a/packages/gateway/src/chivepier/gateway/serving/tests/parts.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/parts.py
@@ -239,8 +239,8 @@
     ) -> PermitAnswer | None:
         if request.rate >= 0:
             self.claims.append(request)
-        if request.most:
-            self.asked.append((request.instance, request.most))
+        if request.cold_limit:
+            self.asked.append((request.instance, request.cold_limit))
         if self.permitted is None:
             return None
         granted = self.permitted and self.turn.granted
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_limits.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_limits.py
@@ -57,7 +57,7 @@
         run = await parts.engines.wait_run(1)
         await finish(task, run, 1)
         assert run.target.endswith("b")
-        assert [claim.patience for claim in parts.claims] in ([], [0.0])
+        assert [claim.max_wait for claim in parts.claims] in ([], [0.0])
 
     play(test, "a", "b", engine=RESERVING)
 
@@ -69,7 +69,7 @@
         (claim,) = parts.claims
         assert (claim.instance, claim.rate) == ("w-a", 1.5)
         assert (claim.team, claim.urgency) == ("t1", 3)
-        assert 0.0 <= claim.patience <= 0.5
+        assert 0.0 <= claim.max_wait <= 0.5
 
     play(test, "a")
 
@@ -240,7 +240,7 @@
         parts.name_limit("w-a", 1.5)
         await answer_plain(parts)
         (claim,) = parts.claims
-        assert claim.patience == 0.0 and claim.most > 0
+        assert claim.max_wait == 0.0 and claim.cold_limit > 0
 
     play(test, "a")
 
--- a/packages/gateway/src/chivepier/gateway/targets/loadboard.py
+++ b/packages/gateway/src/chivepier/gateway/targets/loadboard.py
@@ -37,7 +37,7 @@
             record.runs,
             record.tokens,
             record.reading,
-            record.turn,
+            record.copy_ms,
             record.copying,
             record.receiving,
             record.avoiding,
--- a/tests/adapter/test_limits.py
+++ b/tests/adapter/test_limits.py
@@ -24,14 +24,14 @@
 
         async with client.put("/chivepier/instances/i-1", json=BEAT):
             pass
-        voter.limits.take((NAMED,))
+        voter.limits.receive((NAMED,))
         async with client.get("/v1/operator/status") as answer:
             (limit,) = json.loads(await answer.read())["limits"]
         assert limit["seconds"] >= 2.0
         del limit["seconds"]
         assert limit == {"target": "i-1", "rate": 1.5, "source": "front-1"}
         assert "front-1" in await asyncio.to_thread(show)
-        voter.limits.take((attrs.evolve(NAMED, version=2, rate=-1.0),))
+        voter.limits.receive((attrs.evolve(NAMED, version=2, rate=-1.0),))
         async with client.get("/v1/operator/status") as answer:
             assert json.loads(await answer.read())["limits"] == []
         assert "front-1" not in await asyncio.to_thread(show)
@@ -41,7 +41,7 @@
 
 def test_limits_of_targets_that_are_not_there_are_not_shown(tmp_path):
     async def test(voter, client):
-        voter.limits.take((NAMED,))
+        voter.limits.receive((NAMED,))
         async with client.get("/v1/operator/status") as answer:
             assert json.loads(await answer.read())["limits"] == []
 
--- a/tests/adapter/test_zoneorders.py
+++ b/tests/adapter/test_zoneorders.py
@@ -69,7 +69,7 @@
             options = ["--address", address, "--operator-key", "k"]
             return CliRunner().invoke(main, [*options, *words]).output
 
-        while not await voter.orders.give("z2", False):
+        while not await voter.orders.submit("z2", False):
             # until a leader is elected
             await asyncio.sleep(0.01)
         assert "z1 is evacuated" in await asyncio.to_thread(
@@ -121,7 +121,7 @@
     async def test(voter, client):
         while not await voter.store.write(3, b'{"allowed-regions'):
             await asyncio.sleep(0.01)
-        voter.entries.note(
+        voter.entries.record_beat(
             EntryBeat("e1", "10.0.0.9:80", "z1", True, 3, "", 0), Link()
         )
         while True:
