--- a/packages/gateway/src/chivepier/gateway/control/__init__.py
+++ b/packages/gateway/src/chivepier/gateway/control/__init__.py
@@ -1,4 +1,4 @@
-"""Voters, what they keep, and how entries follow them."""
+"""Control plane: replicated state of the voters, served to entries."""
 
 from chivepier.gateway.control.configstore import ConfigStore
 from chivepier.gateway.control.entrydirectory import EntryDirectory
--- a/packages/gateway/src/chivepier/gateway/control/bootstrap.py
+++ b/packages/gateway/src/chivepier/gateway/control/bootstrap.py
@@ -1,4 +1,4 @@
-"""What a data folder holds before its first start is over."""
+"""Initialization of a voter's data directory."""
 
 import hashlib
 
@@ -18,28 +18,30 @@
 async def open_data_dir(
     settings: VoterSettings,
 ) -> tuple[Identity, DiskStorage]:
-    """Open the data folder, and found the cluster where that is due.
+    """Open the data directory, bootstrapping a new cluster if requested.
 
-    Every seed of the first start writes the same first entry, so that none
-    needs to hear the others. The flag is only obeyed by an empty folder: at
-    any later start there is an identity. A disk that was lost comes back
-    without the flag, gets a new identity, and has no vote.
+    Every seed writes the same first log entry, so that seeds need not
+    communicate. The ``found`` flag applies only to a directory without an
+    identity. A voter that lost its disk is restarted without the flag: it
+    gets a new identity and has no vote.
 
-    :param settings: this voter's
-    :returns: its identity, and its storage
+    :param settings: settings of this voter
+    :returns: the identity and the storage of this voter
     """
     is_new = not (settings.folder / IDENTITY_FILE).exists()
     bootstraps = (
         is_new and settings.found and settings.address in settings.seeds
     )
     if not bootstraps:
-        # the log is made before the identity, which says that it was there
+        # Create the log before the identity: an identity without a log means
+        # that the log was lost.
         storage = DiskStorage(settings.folder, used=not is_new)
         return load_identity(settings.folder), storage
     voters = [Voter(derive_node_name(a), a) for a in sorted(settings.seeds)]
     storage = DiskStorage(settings.folder)
     if not storage.entries:
-        # a crash may have come between this entry and the identity
+        # The entry exists if an earlier start crashed before saving the
+        # identity.
         command = encode(VotersCommand(tuple(voters)))
         storage.append((Entry(1, 1, command),))
         await storage.sync()
@@ -52,22 +54,22 @@
 
 
 def derive_node_name(address: str) -> str:
-    """Name a founding voter.
+    """Derive the node name of a seed from its address.
 
     >>> derive_node_name("10.0.0.1:7200") == derive_node_name("10.0.0.1:7200")
     True
 
-    :param address: its peer address
-    :returns: the same name on every node
+    :param address: peer address of the seed
+    :returns: the name, the same on every node
     """
     return "f" + hashlib.sha256(address.encode()).hexdigest()[:8]
 
 
 def derive_cluster_id(seeds: tuple[str, ...]) -> str:
-    """Name a cluster after its founders.
+    """Derive a cluster identifier from its seeds.
 
-    :param seeds: their peer addresses
-    :returns: the same name on every node
+    :param seeds: peer addresses of the seeds
+    :returns: the identifier, the same on every node
     """
     text = ",".join(sorted(seeds))
     return hashlib.sha256(text.encode()).hexdigest()[:16]
--- a/packages/gateway/src/chivepier/gateway/control/configstore.py
+++ b/packages/gateway/src/chivepier/gateway/control/configstore.py
@@ -1,4 +1,4 @@
-"""The one configuration, in the replicated log."""
+"""Store of the configuration in the replicated log."""
 
 import hashlib
 import zlib
@@ -24,25 +24,25 @@
 
 DOCUMENT_KIND = "configuration"
 DOCUMENT_NAME = "whole"
-# Seconds for which a node looks for a leader on behalf of a caller, who
-# turns to another node after one second.
+# Seconds for which a node tries to reach a leader for a caller; callers try
+# another node after one second.
 LEADER_SEARCH_SECONDS = 0.9
-# Seconds between two looks for a leader; a vote takes some tens of ms.
+# Seconds between two attempts; an election takes some tens of milliseconds.
 LEADER_RETRY_SECONDS = 0.05
-# The fastest level: repeated names make up most of a configuration.
+# The fastest level suffices: most of a configuration is repeated names.
 COMPRESSION_LEVEL = 1
 
 
 class ConfigStore:
     """Keeps the configuration with the highest version.
 
-    The version is the operator's own. A change is compared with what is
-    stored by the leader, and written on the condition that this is still
-    stored, so of two contents under one version only the first counts.
+    Versions are set by the operator. The leader writes a configuration as a
+    compare-and-swap against the stored one, so of two contents with the same
+    version only the first is stored.
 
-    :param leader: the way to the leader
-    :param clock: monotonic time
-    :param log: what this process believes
+    :param leader: client for requests to the leader
+    :param clock: monotonic clock
+    :param log: receives stored versions and failed requests
     """
 
     def __init__(self, leader: LeaderClient, clock: Clock, log: EventLog):
@@ -54,11 +54,11 @@
         self._compressed: tuple[int, bytes] = (-1, b"")
 
     def load_cached(self, cached: StoredConfig | None) -> None:
-        """Take what was known to be committed before a restart."""
+        """Set the configuration known as committed before a restart."""
         self._cached = cached
 
     def find_committed(self) -> StoredConfig | None:
-        """Return what this node knows to be committed, if anything."""
+        """Return the latest configuration known as committed, or ``None``."""
         applied, cached = self._find_applied(), self._cached
         if applied is None or cached is None:
             return applied or cached
@@ -80,10 +80,10 @@
     async def write(self, version: int, body: bytes) -> bool:
         """Store a configuration unless a higher version is stored.
 
-        :param version: the operator's
-        :param body: as it was sent
-        :returns: whether it, or a version not lower, is stored for good;
-            if not, it may or may not be
+        :param version: version number set by the operator
+        :param body: unmodified bytes of the configuration
+        :returns: ``True`` if this or a later version is committed; ``False``
+            if the outcome is unknown
         """
         request = WriteRequest(version, body)
         deadline = self._clock.monotonic() + LEADER_SEARCH_SECONDS
@@ -101,9 +101,10 @@
         return False
 
     async def read(self) -> StoredConfig | None:
-        """Return the newest configuration, or nothing when unsure.
+        """Read the configuration with linearizable consistency.
 
-        :returns: what holds all that was accepted before the call
+        :returns: a configuration that includes every write acknowledged
+            before the call; ``None`` if no leader confirmed one in time
         """
         deadline = self._clock.monotonic() + LEADER_SEARCH_SECONDS
         while (remaining := deadline - self._clock.monotonic()) > 0:
@@ -120,10 +121,11 @@
         return None
 
     async def handle(self, request) -> WriteAnswer | ConfigAnswer:
-        """Answer another node, as the leader.
+        """Answer a read or write request of another node.
 
-        :param request: a write or a read
-        :returns: the answer; unsure when this node does not lead
+        :param request: a ``WriteRequest`` or ``ConfigRequest``
+        :returns: the answer; not accepted, or not known, if the request needs
+            the leader and this node does not lead
         """
         match request:
             case WriteRequest(version=version, body=body):
@@ -133,7 +135,7 @@
             case ConfigRequest():
                 return self._pack(self.find_committed())
             case other:
-                raise RefusedError(f"not for the store: {other!r}")
+                raise RefusedError(f"unexpected request: {other!r}")
 
     async def _read_as_leader(self) -> ConfigAnswer:
         try:
@@ -145,7 +147,7 @@
     def _pack(self, stored: StoredConfig | None) -> ConfigAnswer:
         if stored is None:
             return ConfigAnswer(False, 0, b"")
-        # every entry asks for the same one: it is compressed once
+        # Every entry fetches the same configuration, so compress it once.
         if self._compressed[0] != stored.version:
             compressed = zlib.compress(stored.body, level=COMPRESSION_LEVEL)
             self._compressed = (stored.version, compressed)
@@ -170,8 +172,8 @@
         base = document.version if document else 0
         spec = cbor2.dumps((version, body))
         digest = hashlib.sha256(spec).hexdigest()[:16]
-        # the base is part of the name: a repeated attempt after a conflict
-        # is another change and must not get the first one's answer
+        # The base is part of the name: an attempt after a conflict is a new
+        # change and must not get the stored answer of the first one.
         name = f"{version}-{base}-{digest}"
         edit = Edit(DOCUMENT_KIND, DOCUMENT_NAME, base, spec)
         command = ChangeCommand(name, "", (edit,))
--- a/packages/gateway/src/chivepier/gateway/control/entrydirectory.py
+++ b/packages/gateway/src/chivepier/gateway/control/entrydirectory.py
@@ -1,4 +1,4 @@
-"""Which entries callers may use."""
+"""Directory of the entries that callers may connect to."""
 
 import collections
 import collections.abc
@@ -11,29 +11,29 @@
 from chivepier.types import Clock
 from chivepier.wire import Channel
 
-# Seconds after its last word for which an entry counts as alive: a few missed
-# beats.
+# Seconds after its last beat for which an entry counts as alive: a few beats.
 LIVENESS_TIMEOUT_SECONDS = 1.2
-# Seconds after which an entry is forgotten, and its share of common budgets
-# goes to the others.
+# Seconds of silence after which an entry is removed and its share of common
+# budgets goes to the others.
 RETENTION_SECONDS = 20.0
-# Seconds after its start in which a voter gives no addresses: entries come
-# back one after the other, and the first would get every caller.
+# Seconds after its start in which a voter returns no addresses: entries
+# reconnect one by one, and the first would get every caller.
 STARTUP_DELAY_SECONDS = 0.35
-# Share of one answer's addresses in the caller's own availability zone; the
-# rest serves its callers while that zone is lost.
+# Share of returned addresses in the caller's own availability zone; the others
+# serve the caller if that zone fails.
 LOCAL_SHARE = 0.75
-# Seconds after which the next of many entries are named. Callers close what is
-# no longer named, so only a part of an answer changes.
+# Seconds between two rotations of the returned local entries if there are more
+# than needed. Callers close connections to entries that are no longer
+# returned, so each rotation replaces only a share of them.
 ROTATION_SECONDS = 10.0
 ROTATION_SHARE = 0.25
 
 
 class EntryDirectory:
-    """The entries that speak to this voter.
+    """Entries that send beats to this voter.
 
-    :param clock: monotonic time
-    :param regions: of the availability zones, by their names
+    :param clock: monotonic clock
+    :param regions: region of each availability zone, by zone name
     """
 
     def __init__(
@@ -47,11 +47,11 @@
         self._entries: dict[str, KnownEntry] = {}
 
     def record_beat(self, beat: EntryBeat, channel: Channel) -> bool:
-        """Take an entry's word.
+        """Record an entry's beat.
 
-        :param beat: what it says of itself
-        :param channel: where it is reached
-        :returns: whether it is one that was not known
+        :param beat: the received beat
+        :param channel: connection to the entry
+        :returns: whether the entry was unknown before
         """
         known = self._entries.get(beat.node)
         now = self._clock.monotonic()
@@ -65,21 +65,21 @@
         region: str = "",
         allowed: frozenset[str] | None = None,
     ) -> list[str]:
-        """Return where callers of an availability zone may connect.
+        """Return the entry addresses for callers of an availability zone.
 
-        All voters name the same ones to a zone, and the same ones again: a
-        caller closes its connections to what is no longer named. In the order
-        in which they first spoke, the last entries would get no caller.
+        The selection is deterministic, so that all voters return the same
+        addresses: callers close connections to addresses no longer returned.
+        It is independent of arrival order, so that no entry is left out.
 
-        When no entry is heard, those heard last are better than none: it
-        may be this voter that is cut off.
+        If no entry is alive, the known ones are returned, as this voter
+        itself may be partitioned from the entries.
 
-        :param zone: the caller's
-        :param most: addresses that a caller takes; all by default
-        :param region: the caller's
-        :param allowed: regions that may see its requests, besides its own;
-            ``None`` for all
-        :returns: addresses; empty while this voter is still learning
+        :param zone: availability zone of the caller
+        :param max_count: maximum number of addresses; all by default
+        :param region: region of the caller
+        :param allowed: regions in which the caller's requests may be served,
+            besides its own; ``None`` for all
+        :returns: addresses; empty shortly after the start of this voter
         """
         now = self._clock.monotonic()
         if now - self._started < STARTUP_DELAY_SECONDS:
@@ -100,10 +100,10 @@
         region: str,
         allowed: frozenset[str] | None,
     ) -> list[EntryBeat]:
-        """Leave out entries that must not see a caller's requests.
+        """Drop entries in regions that the caller's requests may not enter.
 
-        Where none is left, any entry is better than none: it refuses what
-        no target may serve, and a caller without addresses is told nothing.
+        If none remains, all are returned: an entry answers with an error if no
+        target may serve a request, while without addresses a caller gets none.
         """
         if allowed is None:
             return beats
@@ -112,9 +112,9 @@
         return filtered or beats
 
     def list_channels(self, exclude: str = "") -> list[Channel]:
-        """Return the links to entries, for what they are told at once.
+        """Return the open channels to all entries, for push messages.
 
-        :param without: an entry that knows already
+        :param exclude: name of an entry to leave out
         """
         return [
             entry.channel
@@ -123,15 +123,15 @@
         ]
 
     def list_beats(self) -> list[EntryBeat]:
-        """Return the last word of each entry that is known."""
+        """Return the last beat of each known entry."""
         return [entry.beat for entry in self._entries.values()]
 
     def count(self) -> int:
-        """Return how many entries there are; one at least."""
+        """Return the number of known entries, at least 1."""
         return max(1, len(self._entries))
 
     def expire(self) -> None:
-        """Drop entries that have long been silent."""
+        """Remove entries that have been silent for too long."""
         now = self._clock.monotonic()
         for node, entry in list(self._entries.items()):
             if now - entry.last_heard > RETENTION_SECONDS:
@@ -141,11 +141,10 @@
 def _select(
     beats: list[EntryBeat], zone: str, max_count: int, now: float
 ) -> list[str]:
-    """Name entries near a caller, and some of each other zone.
+    """Select entries of the caller's zone, and some of each other zone.
 
-    Each zone's callers are given another part of the others' entries, in a
-    row, so that none of these is given to several zones before all are given
-    to one.
+    Callers of different zones get different slices of each remote zone, so
+    that no entry is selected twice before all have been selected once.
     """
     by_zone: dict[str, list[str]] = collections.defaultdict(list)
     for beat in sorted(beats, key=lambda beat: _hash(beat.address)):
@@ -160,21 +159,21 @@
     chosen = _slice_ring(local, offset if count < len(local) else 0, count)
     zone_rank = zones.index(zone) if zone in zones else len(zones)
     for zones_left, name in zip(range(len(by_zone), 0, -1), sorted(by_zone)):
-        # what a small zone can't give, the next ones do
+        # A shortfall of a small zone is made up by the next zones.
         wanted = math.ceil((max_count - len(chosen)) / zones_left)
         chosen += _slice_ring(by_zone[name], zone_rank * wanted, wanted)
     return chosen[:max_count]
 
 
 def _slice_ring(addresses: list[str], start: int, count: int) -> list[str]:
-    """Return so many in a row, from one on and round the end."""
+    """Return up to ``count`` addresses from ``start`` on, with wraparound."""
     start %= max(1, len(addresses))
     ring = addresses[start:] + addresses[:start]
     return ring[:count]
 
 
-# the entries of a large fleet
+# Sized for the entries of a large fleet.
 @functools.lru_cache(maxsize=1 << 12)
 def _hash(address: str) -> bytes:
-    # neighbours by address often share a rack
+    # Hashing separates neighboring addresses, which often share a rack.
     return hashlib.blake2b(address.encode()).digest()
--- a/packages/gateway/src/chivepier/gateway/control/hostregions.py
+++ b/packages/gateway/src/chivepier/gateway/control/hostregions.py
@@ -1,4 +1,4 @@
-"""In which regions the requests to a host may be served."""
+"""Allowed regions of each host."""
 
 import collections.abc
 
@@ -11,11 +11,11 @@
 
 
 class HostRegions:
-    """Regions by host, read once for each configuration.
+    """Caches the allowed regions of each host per configuration version.
 
-    :param store: the configuration
-    :param decode: reads the regions of a configuration as it was sent
-    :param log: what can't be read
+    :param store: store of the configuration
+    :param decode: decodes the allowed regions from a configuration's bytes
+    :param log: receives decoding errors
     """
 
     def __init__(
@@ -28,10 +28,10 @@
         self._regions: RegionsByHost = {}
 
     def find(self, host: str) -> frozenset[str] | None:
-        """Return the regions that a host's routes allow.
+        """Return the regions allowed by a host's routes.
 
-        :param host: that a caller wants to reach
-        :returns: ``None`` where they allow all
+        :param host: host name requested by a caller
+        :returns: the allowed regions; ``None`` if all are allowed
         """
         config = self._store.find_committed()
         if config is None:
@@ -45,8 +45,9 @@
         try:
             self._regions = self._decode(config.body)
         except ValueError as error:
-            # a voter of another release took it; callers still need addresses,
-            # and entries keep to what they can read themselves
+            # A voter of another release accepted this configuration. Keep the
+            # previous regions, as callers still need addresses; entries
+            # enforce what they can decode.
             self._log.warn(
                 "regions_unread", version=config.version, error=str(error)
             )
--- a/packages/gateway/src/chivepier/gateway/control/joincandidate.py
+++ b/packages/gateway/src/chivepier/gateway/control/joincandidate.py
@@ -1,4 +1,4 @@
-"""An instance that asks for a vote."""
+"""An instance that has requested a vote."""
 
 import attrs
 
@@ -7,7 +7,7 @@
 
 @attrs.define
 class JoinCandidate:
-    """An instance without a vote, and when it last asked for one."""
+    """A non-voting instance and the monotonic time of its last request."""
 
     voter: Voter
     requested_at: float
--- a/packages/gateway/src/chivepier/gateway/control/knownentry.py
+++ b/packages/gateway/src/chivepier/gateway/control/knownentry.py
@@ -1,4 +1,4 @@
-"""An entry that a voter hears."""
+"""An entry known to a voter."""
 
 import attrs
 
@@ -8,7 +8,7 @@
 
 @attrs.define
 class KnownEntry:
-    """An entry, its last word, and when that came, in monotonic seconds."""
+    """An entry's last beat, its channel and the time of receipt."""
 
     beat: EntryBeat
     channel: Channel
--- a/packages/gateway/src/chivepier/gateway/control/leaderclient.py
+++ b/packages/gateway/src/chivepier/gateway/control/leaderclient.py
@@ -1,4 +1,4 @@
-"""Asking the leader, wherever it is."""
+"""Client for requests to the leader."""
 
 import asyncio
 import collections.abc
@@ -14,10 +14,10 @@
 
 
 class LeaderClient:
-    """Takes questions to the voter that leads, this one included.
+    """Sends requests to the leading voter, which may be this one.
 
     :param replica: this node's replica
-    :param links: to the other voters
+    :param links: connections to the other voters
     """
 
     def __init__(self, replica: Replica, links: Links):
@@ -27,13 +27,13 @@
     async def request(
         self, request: typing.Any, seconds: float, handle: Handler
     ) -> typing.Any:
-        """Have a request answered by the leader.
+        """Send a request to the leader and return its answer.
 
-        :param request: a message
-        :param seconds: to wait for the answer
-        :param handle: answers it where this voter leads
-        :raises LinkError: when no leader is known, or it does not answer
-        :raises TimeoutError: when this voter leads and can't answer in time
+        :param request: message to send
+        :param seconds: timeout in seconds
+        :param handle: answers the request if this voter leads
+        :raises LinkError: if no leader is known or it does not answer
+        :raises TimeoutError: if this voter leads and does not answer in time
         """
         if self.replica.leads():
             async with asyncio.timeout(seconds):
@@ -46,9 +46,9 @@
         raise LinkError("no leader is known", sent=False)
 
     async def wait_for_commits(self) -> None:
-        """Return once all that was committed before is applied here.
+        """Wait until everything committed before the call is applied here.
 
-        :raises NotLeaderError: when this voter does not lead
+        :raises NotLeaderError: if this voter does not lead
         """
         machine = self.replica.machine
         index = await self.replica.read_barrier()
--- a/packages/gateway/src/chivepier/gateway/control/limitrelay.py
+++ b/packages/gateway/src/chivepier/gateway/control/limitrelay.py
@@ -1,4 +1,4 @@
-"""Limits that targets named to entries."""
+"""Relay for the rate limits that targets set in answers to entries."""
 
 import collections.abc
 
@@ -17,11 +17,11 @@
 
 
 class LimitRelay:
-    """Passes on what entries were told, and keeps it for those to come.
+    """Stores limits received from entries and forwards them to followers.
 
-    :param channels: returns where the followers of this voter are reached
-    :param clock: monotonic time
-    :param log: what this process believes
+    :param channels: returns the channels to the followers of this voter
+    :param clock: monotonic clock
+    :param log: receives new limits
     """
 
     def __init__(
@@ -36,9 +36,9 @@
         self._log = log
 
     def receive(self, records: tuple[LimitRecord, ...]) -> None:
-        """Take what an entry was told, and tell the followers at once.
+        """Store limits received from an entry and push new ones to followers.
 
-        :param records: of its beat
+        :param records: limits contained in the entry's beat
         """
         now = self._clock.monotonic()
         words = unpack_words(records, now)
@@ -65,10 +65,10 @@
     def find_active(
         self, targets: collections.abc.Iterable[Target]
     ) -> list[tuple[LimitWord, float]]:
-        """Return the limits that targets name now.
+        """Return the rate limits in force for the given targets.
 
-        :param targets: that are known
-        :returns: what is believed, and for how many seconds it has been
+        :param targets: targets to look up
+        :returns: pairs of a limit and its age in seconds
         """
         now = self._clock.monotonic()
         words = [self.board.find(t.instance, t.born) for t in targets]
@@ -81,10 +81,11 @@
     def find_missing(
         self, beat: EntryBeat, epoch: str
     ) -> tuple[LimitRecord, ...]:
-        """Return what an entry lacks.
+        """Return the limits that an entry has not received yet.
 
-        :param beat: says what it has
-        :param epoch: of this voter; one that knows another has nothing
+        :param beat: the entry's beat, with the revision that it has
+        :param epoch: this voter's epoch; an entry with another epoch is sent
+            all limits
         """
         revision = beat.limits_revision if beat.epoch == epoch else 0
         if revision >= self.board.revision:
--- a/packages/gateway/src/chivepier/gateway/control/loadledger.py
+++ b/packages/gateway/src/chivepier/gateway/control/loadledger.py
@@ -1,4 +1,4 @@
-"""What runs and waits at the entries that follow one voter."""
+"""Running and waiting requests of the entries that follow one voter."""
 
 import collections
 import itertools
@@ -10,16 +10,16 @@
 from chivepier.gateway.messages import RepeatRecord
 from chivepier.gateway.targets import EXPIRY
 
-# What adds up over entries; turns to copy memory are told by entry.
+# Fields that are summed over entries; turns to copy KV memory stay per entry.
 SUMMED_FIELDS = ("runs", "tokens", "reading", "receiving", "avoiding")
 
 
 class LoadLedger:
-    """Keeps what each entry last said, and sums it up for other voters.
+    """Keeps each entry's last report and aggregates them for other voters.
 
-    The sums follow each change; they are told many times a second.
+    Sums are updated incrementally, as they are sent many times a second.
 
-    :param me: this voter's address
+    :param own_address: this voter's peer address
     """
 
     def __init__(self, own_address: str):
@@ -37,10 +37,10 @@
         self._sum_changes = LoadState()
 
     def receive(self, notice: LoadNotice, now: float) -> None:
-        """Take what an entry says of itself.
+        """Apply a load report of an entry.
 
-        :param notice: its records
-        :param now: monotonic seconds
+        :param notice: changed records of the entry
+        :param now: current time, in monotonic seconds
         """
         parts = (notice.records, notice.queues, notice.repeats)
         for record in itertools.chain(*parts):
@@ -48,37 +48,37 @@
         self._apply(*parts)
 
     def drop_entry(self, entry: str) -> None:
-        """Forget an entry that follows another voter, which tells of it."""
+        """Remove an entry, such as one that now reports to another voter."""
         if self._last_heard.pop(entry, None) is not None:
             self._apply(*LoadState().find_changes(self._reports.select(entry)))
 
     def expire(self, now: float) -> None:
-        """Forget entries that have long been silent."""
+        """Remove entries that have been silent for too long."""
         for entry, last_heard in list(self._last_heard.items()):
             if now - last_heard >= EXPIRY:
                 self.drop_entry(entry)
 
     def pop_changes(self) -> tuple[LoadState, LoadState]:
-        """Return what has changed since this was asked before.
+        """Return and reset the changes since the previous call.
 
-        :returns: of single entries, and of the sums
+        :returns: changes of single entries, and changes of the sums
         """
         changes = self._changes, self._sum_changes
         self._changes, self._sum_changes = LoadState(), LoadState()
         return changes
 
     def copy_reports(self) -> LoadState:
-        """Return what each entry runs and lets wait."""
+        """Return a copy of the last reports of all entries."""
         state = LoadState()
         state.add(self._reports)
         return state
 
     def aggregate(self) -> LoadState:
-        """Return one record a target and rank, in this voter's name.
+        """Return the sums over all entries, under this voter's address.
 
-        Who copies memory off a leaving target is told by entry, as they take
-        turns by their names. All other records of an availability zone become
-        one a target: what crosses its border does not grow with the entries.
+        Entries copy KV memory off a leaving target in turns, by their names,
+        so these records stay per entry. All others become one per target,
+        which keeps traffic between zones independent of the entry count.
         """
         summed = LoadState()
         for record in self._reports.records.values():
--- a/packages/gateway/src/chivepier/gateway/control/loadrelay.py
+++ b/packages/gateway/src/chivepier/gateway/control/loadrelay.py
@@ -1,4 +1,4 @@
-"""Passing on what entries run at targets."""
+"""Relay for the loads that entries put on targets."""
 
 import asyncio
 
@@ -13,30 +13,30 @@
 from chivepier.wire import Links
 from chivepier.wire import prepare
 
-# Seconds for which changes are gathered into one message to each entry.
+# Seconds for which changes are batched into one message to each entry.
 BATCH_SECONDS = 0.02
-# Seconds between two words to the other voters, also where nothing changed:
-# they tell by these whom they hear.
+# Maximum seconds between two digests to the other voters, even without
+# changes: digests also serve as heartbeats.
 DIGEST_INTERVAL_SECONDS = 0.25
-# Seconds without a word after which another voter is not heard, and what it
-# told no longer counts: four words in a row are lost by no accident.
+# Seconds without a digest after which another voter counts as unreachable and
+# its loads are dropped: four digests in a row are not lost by accident.
 PEER_TIMEOUT_SECONDS = 1.0
-# Seconds between two tellings of everything, which heal what was lost. Half of
-# the time for which entries believe what they were told.
+# Seconds between two full updates, which repair lost ones: half of the time
+# after which entries expire received loads.
 FULL_SYNC_INTERVAL_SECONDS = 1.7
 
 
 class LoadRelay:
-    """Tells the entries that follow this voter what runs everywhere.
+    """Distributes the loads of all entries to the followers of this voter.
 
-    Each entry follows one voter, of its own availability zone where that one
-    is well. Voters sum up what their entries say and tell each other, so that
-    a change crosses each border between zones once.
+    Each entry follows one voter, that of its own availability zone if it is
+    healthy. Voters exchange the sums over their followers, so that each change
+    is sent between two zones only once.
 
-    :param me: this voter's peer address
-    :param peers: the voters' addresses
-    :param links: to the other voters
-    :param clock: monotonic time
+    :param own_address: this voter's peer address
+    :param peers: addresses of the voters
+    :param links: connections to the other voters
+    :param clock: monotonic clock
     """
 
     def __init__(
@@ -57,11 +57,11 @@
     def update_follower(
         self, entry: str, channel: Channel, follows: bool
     ) -> None:
-        """Take whether an entry follows this voter.
+        """Add or remove an entry as a follower of this voter.
 
-        :param entry: its name
-        :param channel: where it is reached
-        :param follows: what its beat says
+        :param entry: name of the entry
+        :param channel: connection to the entry
+        :param follows: whether the entry follows this voter, from its beat
         """
         known = self._followers.get(entry)
         if not follows:
@@ -76,16 +76,16 @@
             self._changed.set()
 
     def list_channels(self) -> list[Channel]:
-        """Return where the entries that follow this voter are reached."""
+        """Return the channels to the followers of this voter."""
         return list(self._followers.values())
 
     def receive(self, notice: LoadNotice) -> None:
-        """Take what an entry that follows this voter says."""
+        """Apply a load report of a follower."""
         self._ledger.receive(notice, self._clock.monotonic())
         self._changed.set()
 
     def receive_digest(self, digest: LoadDigest) -> None:
-        """Take what another voter's entries run."""
+        """Apply a digest of another voter."""
         now = self._clock.monotonic()
         peer = self._peer_loads.setdefault(digest.voter, PeerLoads(now))
         peer.last_heard, before = now, peer.loads
@@ -101,7 +101,7 @@
             self._changed.set()
 
     def find_reachable_voters(self) -> tuple[str, ...]:
-        """Return the voters that this one hears, itself included, sorted."""
+        """Return the sorted addresses of the reachable voters and this one."""
         now = self._clock.monotonic()
         heard = [
             address
@@ -111,7 +111,7 @@
         return tuple(sorted([self._own_address, *heard]))
 
     async def run(self) -> None:
-        """Pass on, for as long as the node lives."""
+        """Publish changes until cancelled."""
         while True:
             try:
                 async with asyncio.timeout(DIGEST_INTERVAL_SECONDS):
@@ -124,7 +124,7 @@
             self.publish()
 
     def publish(self) -> None:
-        """Tell followers and the other voters what is new."""
+        """Send pending changes to the followers and the other voters."""
         now = self._clock.monotonic()
         self._ledger.expire(now)
         self._expire_peers(now)
--- a/packages/gateway/src/chivepier/gateway/control/loadstate.py
+++ b/packages/gateway/src/chivepier/gateway/control/loadstate.py
@@ -1,4 +1,4 @@
-"""Loads, queues and repeats at one moment, and how two moments differ."""
+"""Snapshots of loads, queues and retries, and differences between them."""
 
 import collections.abc
 import typing
@@ -16,11 +16,11 @@
 
 @attrs.define
 class LoadState:
-    """Records by whom and what they are about.
+    """A snapshot of load records.
 
-    :param records: by entry and instance
-    :param queues: by entry, service and rank
-    :param repeats: by entry and service
+    :param records: load records by entry and target
+    :param queues: queue lengths by entry, service and rank
+    :param repeats: used retries by entry and service
     """
 
     records: dict[tuple[str, str], LoadRecord] = attrs.field(factory=dict)
@@ -28,7 +28,7 @@
     repeats: dict[tuple[str, str], RepeatRecord] = attrs.field(factory=dict)
 
     def put(self, records: Records, queues: Queues, repeats: Repeats) -> None:
-        """Take records over those that are held."""
+        """Insert records, replacing those with the same key."""
         for record in records:
             self.records[(record.entry, record.instance)] = record
         for queue in queues:
@@ -37,13 +37,13 @@
             self.repeats[(repeat.entry, repeat.service)] = repeat
 
     def add(self, other: "LoadState") -> None:
-        """Take all that another state holds."""
+        """Insert all records of another snapshot."""
         self.records.update(other.records)
         self.queues.update(other.queues)
         self.repeats.update(other.repeats)
 
     def select(self, entry: str) -> "LoadState":
-        """Return what is told of one entry."""
+        """Return the records of one entry."""
         return LoadState(
             *(
                 {key: value for key, value in part.items() if key[0] == entry}
@@ -55,7 +55,7 @@
         return bool(self.records or self.queues or self.repeats)
 
     def pack(self) -> tuple[Records, Queues, Repeats]:
-        """Return all records, for a message."""
+        """Return all records as tuples, for a message."""
         return (
             tuple(self.records.values()),
             tuple(self.queues.values()),
@@ -65,9 +65,9 @@
     def find_changes(
         self, known: "LoadState"
     ) -> tuple[Records, Queues, Repeats]:
-        """Return what differs from what was told; what has ended, as none.
+        """Return the changed records, and zero records for removed ones.
 
-        :param told: what the hearer holds
+        :param known: the earlier snapshot to compare with
         """
         return (
             _compare(
--- a/packages/gateway/src/chivepier/gateway/control/membership.py
+++ b/packages/gateway/src/chivepier/gateway/control/membership.py
@@ -1,4 +1,4 @@
-"""Who votes: founding, joining and replacement."""
+"""Membership of the voters: join requests, additions and removals."""
 
 import asyncio
 
@@ -16,33 +16,32 @@
 from chivepier.wire import LinkError
 from chivepier.wire import Links
 
-# Seconds between two looks at who should vote.
+# Seconds between two checks of the voter set.
 CHECK_INTERVAL_SECONDS = 0.4
-# Seconds for which a request to join counts; it is repeated as often as the
-# seats are looked at.
+# Seconds for which a join request stays valid; it is repeated at each check.
 JOIN_REQUEST_TTL_SECONDS = 1.5
-# Seconds of silence after which a replaced voter loses its seat; a restart in
-# turn takes less.
+# Seconds of silence after which a voter is removed if another one has joined
+# since; a rolling restart takes less.
 REPLACED_TIMEOUT_SECONDS = 4.0
-# Seconds of silence after which a voter loses its seat without having been
-# replaced.
+# Seconds of silence after which a voter is removed without a replacement.
 UNREACHABLE_TIMEOUT_SECONDS = 20.0
-# Voters that must remain: with fewer, the loss of one stops every change.
+# With fewer voters, the loss of one leaves no quorum.
 MIN_VOTERS = 3
-# Seconds for one change of voters before the seats are looked at again.
+# Timeout of one membership check, including a change of the voter set.
 CHANGE_TIMEOUT_SECONDS = 5.0
+# Timeout of one join request to one peer.
 JOIN_REQUEST_TIMEOUT_SECONDS = 0.8
 
 
 class Membership:
-    """Asks for a vote while this node has none, and gives votes as leader.
+    """Requests a vote while this node has none; as leader, updates the voters.
 
     :param replica: this node's replica
-    :param me: this node's peer address
-    :param links: to the other nodes
-    :param peers: their addresses
-    :param clock: monotonic time
-    :param log: what this process believes
+    :param own_address: this node's peer address
+    :param links: connections to the other nodes
+    :param peers: addresses of the other nodes
+    :param clock: monotonic clock
+    :param log: receives changes of this node's vote and of the voter set
     """
 
     def __init__(
@@ -66,7 +65,7 @@
         self._has_vote: bool | None = None
 
     async def run(self) -> None:
-        """Look at the seats for as long as the node lives."""
+        """Check the voter set periodically until cancelled."""
         while True:
             try:
                 async with asyncio.timeout(CHANGE_TIMEOUT_SECONDS):
@@ -89,8 +88,8 @@
         await self._request_vote()
 
     async def _request_vote(self) -> None:
-        # also a voter asks: one that lost its seat while it was away does
-        # not know it, as nobody sends it the log any more
+        # A voter asks too: one that was removed while it was offline cannot
+        # know, as it no longer receives the log.
         replica = self._replica
         request = JoinRequest(replica.node, self._own_address, replica.cluster)
         peers = [p for p in self._peers.all if p != self._own_address]
@@ -115,12 +114,13 @@
             return None
 
     def _log_vote_status(self, reported: list[bool]) -> None:
-        """Log whether this node has a vote, as most of the others say.
+        """Log a change of this node's vote, as reported by most peers.
 
-        Those that have just started know little, and contradict the others
-        until they have the log.
+        Peers that have just started contradict the others until they have
+        received the log.
 
-        :param told: by each that answered
+        :param reported: one item per answer, whether the peer lists this
+            node as a voter
         """
         votes = 2 * sum(reported) > len(reported)
         if votes is not self._has_vote:
@@ -133,10 +133,10 @@
             )
 
     def handle(self, request: JoinRequest) -> JoinAnswer:
-        """Answer an instance that asks for a vote.
+        """Record a join request and answer it.
 
-        :param request: who it is
-        :returns: whether it votes, and who does
+        :param request: identity, address and cluster of the asking instance
+        :returns: whether the instance is a voter, and the current voters
         """
         replica = self._replica
         if not request.cluster or request.cluster == replica.cluster:
@@ -157,8 +157,8 @@
         for candidate in candidates:
             for voter in replica.voters:
                 if voter.address == candidate.address:
-                    # another identity answers at its address: the disk
-                    # that this vote belonged to is lost for good
+                    # A new identity at the same address means that the disk
+                    # of the old one is lost.
                     await self._remove(voter)
                     return
         for candidate in candidates:
@@ -196,12 +196,11 @@
             del self._silent_since[node]
 
     def _find_removable(self, now: float) -> list[Voter]:
-        """Find the voters whose votes are to be taken.
+        """Find unreachable voters whose removal keeps the fault tolerance.
 
-        A vote is taken only where the others bear as many losses as before:
-        of an odd number that is not so with one vote, but with two. One that
-        lost its vote though its disk is whole would else be missed when more
-        disks are lost.
+        An odd number of voters tolerates fewer losses after the removal of
+        one, but not of two. A voter with a stalled but intact disk is still
+        needed if further disks are lost.
         """
         voters = self._replica.voters
         if len(voters) <= MIN_VOTERS:
--- a/packages/gateway/src/chivepier/gateway/control/operatorapi.py
+++ b/packages/gateway/src/chivepier/gateway/control/operatorapi.py
@@ -1,4 +1,4 @@
-"""The product's own interface for operators, at each voter."""
+"""HTTP API for operators, served by each voter."""
 
 import asyncio
 
@@ -15,23 +15,23 @@
 from chivepier.types import render_headers
 
 ORDER_PATH = "/v1/operator/evacuations/{zone}"
-# Characters of a name that an error repeats.
+# Length to which a name is truncated in error messages.
 MAX_NAME_LENGTH = 200
 
 
 @attrs.frozen
 class OperatorApi:
-    """What the ``chivepier`` command asks of a voter.
+    """The HTTP endpoints used by the ``chivepier`` command.
 
-    :param voter: decides
+    :param voter: the voter that answers requests
     """
 
     voter: Voter
 
     def register_routes(self, routes: web.UrlDispatcher) -> None:
-        """Serve it.
+        """Register the endpoints.
 
-        :param routes: of the server that operators reach
+        :param routes: route table of the operators' HTTP server
         """
         routes.add_get("/healthz", self._get_health)
         routes.add_get("/v1/operator/status", self._get_status)
@@ -64,7 +64,7 @@
             ],
             "targets": [_describe(target) for target in voter.table],
             "version": config.version if config else 0,
-            # the oldest that an entry still acts on
+            # The oldest configuration version still applied by an entry.
             "in_force": min((beat.version for beat in beats), default=0),
             "evacuations": [
                 {
@@ -110,22 +110,22 @@
 async def submit_order(
     voter: Voter, request: web.Request, zone: str, evacuated: bool
 ) -> Failure | None:
-    """Carry out an operator's order about an availability zone.
+    """Commit an operator's order to evacuate or readmit a zone.
 
-    :param voter: that it came to
-    :param request: that brought it; its sender may leave meanwhile
-    :param zone: the zone's name
-    :param evacuated: whether nothing new may be sent there
-    :returns: why it is not in force, or nothing
+    :param voter: the voter that received the order
+    :param request: the HTTP request; its sender may disconnect meanwhile
+    :param zone: name of the availability zone
+    :param evacuated: whether no new requests may be sent to the zone
+    :returns: the reason why the order is not committed; ``None`` if it is
     """
     if not voter.knows_zone(zone):
-        text = f"no availability zone {zone[:MAX_NAME_LENGTH]!r}"
+        text = f"unknown availability zone {zone[:MAX_NAME_LENGTH]!r}"
         return Failure(ErrorKind.BAD_REQUEST, text)
     order = voter.orders.prepare(zone, evacuated)
     work = voter.orders.commit(order, lambda: _is_connected(request))
     if await asyncio.shield(work):
         return None
-    text = "no leader took it in time; it may be in force"
+    text = "no leader accepted the order in time; it may be in force"
     return Failure(ErrorKind.NO_QUORUM, text)
 
 
--- a/packages/gateway/src/chivepier/gateway/control/peerloads.py
+++ b/packages/gateway/src/chivepier/gateway/control/peerloads.py
@@ -1,4 +1,4 @@
-"""What another voter tells of its entries."""
+"""Load data received from another voter."""
 
 import attrs
 
@@ -7,7 +7,7 @@
 
 @attrs.define
 class PeerLoads:
-    """What another voter told, and when it was last heard."""
+    """Loads of another voter's entries and the time of its last digest."""
 
     last_heard: float
     loads: LoadState = attrs.field(factory=LoadState)
--- a/packages/gateway/src/chivepier/gateway/control/permitservice.py
+++ b/packages/gateway/src/chivepier/gateway/control/permitservice.py
@@ -1,4 +1,4 @@
-"""Leave for entries to send to targets that take few."""
+"""Grants of permits to send requests to rate-limited targets."""
 
 import random
 
@@ -17,18 +17,17 @@
 
 
 class PermitService:
-    """Takes entries' questions to the leader, and answers them there.
+    """Forwards permit requests to the leader, and answers them as leader.
 
-    Of the voters only the leader permits anything, while it holds its
-    lease: no other one can lead meanwhile. One that has just begun to lead
-    knows nothing of what the one before it permitted, and waits until that
-    has lapsed. Without this, two voters could each give away all that a
-    target bears within the same second.
+    Only the leader grants permits, while it holds its lease, which excludes
+    any other leader. A new leader does not know the permits of its predecessor
+    and waits until they have expired. Otherwise two voters could each grant a
+    target's full rate within the same second.
 
-    :param leader: the way to the leader
-    :param clock: monotonic time
-    :param log: what this process believes
-    :param rng: spreads the claims of many entries
+    :param leader: client for requests to the leader
+    :param clock: monotonic clock
+    :param log: receives requests that no leader answered
+    :param rng: randomizes the order among the claims of many entries
     """
 
     def __init__(
@@ -45,9 +44,9 @@
         self._turns = Turns(rng)
 
     async def handle(self, request: PermitRequest) -> PermitAnswer:
-        """Answer an entry, or another voter as the leader.
+        """Answer a permit request, forwarding it to the leader if necessary.
 
-        :param request: for one send to one target
+        :param request: request for one send to one target
         """
         try:
             return await self._leader.request(
@@ -56,7 +55,7 @@
                 self._grant,
             )
         except (LinkError, TimeoutError) as error:
-            # an answer that comes later is of no use to who asked
+            # No retry: a later answer is of no use to the entry.
             self._log.info(
                 "permit_unasked", target=request.instance, error=str(error)
             )
--- a/packages/gateway/src/chivepier/gateway/control/preparedorder.py
+++ b/packages/gateway/src/chivepier/gateway/control/preparedorder.py
@@ -1,16 +1,16 @@
-"""An operator's order as it came to a voter."""
+"""An operator's zone order, before it is committed."""
 
 import attrs
 
 
 @attrs.frozen
 class PreparedOrder:
-    """An order, and what its receiver knew when it came.
+    """A zone order and the log state known to its receiver on arrival.
 
-    :param zone: the availability zone
-    :param evacuated: whether nothing new may be sent there from now on
-    :param base: log index of the zone's last order as it was known
-    :param arrived: in monotonic seconds
+    :param zone: name of the availability zone
+    :param evacuated: whether no new requests may be sent to the zone
+    :param base_index: log index of the zone's last known order, 0 for none
+    :param received_at: time of arrival, in monotonic seconds
     """
 
     zone: str
--- a/packages/gateway/src/chivepier/gateway/control/quarantinerelay.py
+++ b/packages/gateway/src/chivepier/gateway/control/quarantinerelay.py
@@ -1,4 +1,4 @@
-"""What entries saw of requests that end targets."""
+"""Relay for quarantine records of requests that crash targets."""
 
 import collections.abc
 
@@ -15,11 +15,11 @@
 
 
 class QuarantineRelay:
-    """Passes on what entries see, and keeps it for those that come later.
+    """Stores records received from entries and forwards them to followers.
 
-    :param channels: returns where the followers of this voter are reached
-    :param clock: monotonic time
-    :param log: what this process believes
+    :param channels: returns the channels to the followers of this voter
+    :param clock: monotonic clock
+    :param log: receives new records
     """
 
     def __init__(
@@ -34,13 +34,13 @@
         self._log = log
 
     def receive(self, notice: QuarantineNotice) -> bool:
-        """Take what an entry saw, and tell the followers at once.
+        """Store an entry's records and push new ones to followers.
 
-        Another entry may be sent the same request within a tenth of a second;
-        with their next beat alone they would know a third of one later.
+        Another entry may receive the same request within 0.1 s, while its next
+        beat may be a third of a second away.
 
-        :param notice: from its beat
-        :returns: whether anything was news
+        :param notice: records contained in the entry's beat
+        :returns: whether any record was new
         """
         now = self._clock.monotonic()
         records = unpack_records(notice, now)
@@ -60,10 +60,11 @@
         return bool(new_records)
 
     def find_missing(self, beat: EntryBeat, epoch: str) -> QuarantineNotice:
-        """Return what an entry lacks.
+        """Return the records that an entry has not received yet.
 
-        :param beat: says what it has
-        :param epoch: of this voter; one that knows another has nothing
+        :param beat: the entry's beat, with the revision that it has
+        :param epoch: this voter's epoch; an entry with another epoch is sent
+            all records
         """
         revision = beat.quarantine_revision if beat.epoch == epoch else 0
         if revision >= self.ledger.revision:
@@ -72,5 +73,5 @@
         return pack_records(records, self._clock.monotonic())
 
     def expire(self) -> None:
-        """Drop what no longer counts."""
+        """Remove expired records."""
         self.ledger.expire(self._clock.monotonic())
--- a/packages/gateway/src/chivepier/gateway/control/registry.py
+++ b/packages/gateway/src/chivepier/gateway/control/registry.py
@@ -1,4 +1,4 @@
-"""Targets as they announce themselves to voters."""
+"""Registry of the targets that announce themselves to voters."""
 
 import collections.abc
 import secrets
@@ -16,27 +16,27 @@
 from chivepier.types import Clock
 from chivepier.wire import Links
 
-# Seconds after a zone was taken back in which all that its targets say goes
-# to the entries: three to four of their announcements.
+# Seconds after a zone's readmission in which every announcement of its targets
+# is pushed to the entries: three to four announcements of each.
 READMISSION_WINDOW_SECONDS = 5.0
-# Seconds by which a time that was sent as an age may be off: what a message
-# takes between two voters, also where one of them is busy.
+# Error of a time that is sent as an age: the latency of a message between two
+# voters, also where one of them is busy.
 AGE_TOLERANCE_SECONDS = 0.2
 
 
 class Registry:
-    """Takes announcements and tells entries and the other voters.
-
-    What is new goes out at once; what an entry missed it gets with its next
-    beat, by a revision that counts what this voter heard itself.
-
-    :param me: this voter's peer address
-    :param table: the targets
-    :param entries: who is told
-    :param links: to the other voters
-    :param peers: their addresses
-    :param clock: monotonic time
-    :param log: what this process believes
+    """Receives announcements and forwards them to entries and other voters.
+
+    Changes are pushed at once. An entry gets missed ones in the answer to its
+    next beat, selected by a revision number that is local to this voter.
+
+    :param own_address: this voter's peer address
+    :param table: all known targets
+    :param entries: the entries that receive changes
+    :param links: connections to the other voters
+    :param peers: addresses of the other voters
+    :param clock: monotonic clock
+    :param log: receives changes of targets
     """
 
     def __init__(
@@ -63,9 +63,9 @@
         self._unsynced: set[str] = set()
 
     def announce(self, target: Target) -> None:
-        """Take a target's own announcement.
+        """Merge an announcement received from the target itself.
 
-        :param target: what it says; heard just now
+        :param target: its announced state, with the current time as ``heard``
         """
         if not self._merge_target(target):
             return
@@ -74,17 +74,17 @@
             self._broadcast(target)
 
     def mark_leaving(self, instance: str, born: int) -> None:
-        """Take an entry's word that a target told it that it leaves.
+        """Mark a target as leaving, as reported by an entry.
 
-        :param instance: the target's name
-        :param born: start of the life that leaves
+        :param instance: name of the target
+        :param born: start time of the leaving incarnation
         """
         now = self._clock.monotonic()
         if not self._table.note_leaving(instance, born, now):
             return
         known = self._table.get(instance)
         if known is None or known.born != born:
-            # what it announces later is taken for what it is
+            # The table applies it to a later announcement.
             return
         self.revision += 1
         _record_revision(self._liveness_revisions, instance, self.revision)
@@ -93,11 +93,11 @@
         self._broadcast(known)
 
     def _merge_target(self, target: Target) -> bool:
-        """Merge a target's word.
+        """Merge an announcement and assign a revision to what is new.
 
-        :returns: whether it shows that the target lives. An older word, or
-            one of an earlier life, does not; nor does one that comes back
-            from another voter, a moment off as ages travel, not times
+        :returns: whether the announcement shows that the target is alive.
+            Older ones, those of an earlier incarnation and those echoed by
+            another voter do not; an echo may differ by the error of its age.
         """
         known = self._table.get(target.instance)
         heard = known.heard if known is not None else None
@@ -119,11 +119,11 @@
         return True
 
     def _is_recently_readmitted(self, target: Target) -> bool:
-        """Tell whether entries wait for this word of a target.
+        """Tell whether an announcement follows its zone's readmission.
 
-        Those of a zone that was taken back count as cold until they speak.
-        Voters and entries learn of that moment some tenths of a second
-        apart, so the next words all go to the entries.
+        Targets of a readmitted zone count as cold until they announce
+        themselves again. Voters and entries learn of the readmission some
+        tenths of a second apart, so several announcements are pushed.
         """
         at = self._table.zones.find_readmitted(target.zone)
         return (
@@ -132,11 +132,11 @@
         )
 
     def deregister(self, instance: str, born: int | None = None) -> None:
-        """Take a target's word that it ends.
+        """Mark a target as gone on its own request.
 
-        :param instance: that ends; nothing is kept of one that is not known
-        :param born: which of its lives ends; the one that is known where the
-            target does not tell
+        :param instance: name of the target; ignored if it is unknown
+        :param born: start time of the ending incarnation; by default the
+            known one
         """
         known = self._table.get(instance)
         if known is None or born is not None and born < known.born:
@@ -173,11 +173,11 @@
                 self._links.post(peer, notice)
 
     def sync_peers(self) -> None:
-        """Tell the other voters which targets were heard here lately.
+        """Send the targets heard since the last call to the other voters.
 
-        They hear of a target when it is new, and would forget one that
-        speaks to this voter only: after a kill of all processes they would
-        tell entries of none of the long-lived ones.
+        Only changes are pushed at once. Without this, other voters would
+        expire a long-lived target that announces itself to this voter only,
+        and could not name it to entries after a restart of all processes.
         """
         now = self._clock.monotonic()
         targets = [self._table.get(name) for name in sorted(self._unsynced)]
@@ -189,7 +189,7 @@
                 self._links.post(peer, notice)
 
     def merge(self, notice: TargetNotice) -> None:
-        """Take what another voter heard."""
+        """Merge targets received from another voter."""
         now = self._clock.monotonic()
         for record in notice.records:
             self._merge_target(unpack_target(record, now))
@@ -197,11 +197,11 @@
     def find_changed_records(
         self, epoch: str, revision: int
     ) -> tuple[TargetRecord, ...]:
-        """Return what an entry lacks.
+        """Return the records that changed since an entry's revision.
 
-        :param epoch: of this voter, as the entry knows it
-        :param revision: up to which it has everything
-        :returns: all records when the epoch is another one
+        :param epoch: this voter's epoch as known to the entry
+        :param revision: last revision that the entry has received
+        :returns: changed records; all records if the epochs differ
         """
         now = self._clock.monotonic()
         if epoch != self.epoch:
@@ -211,20 +211,21 @@
         return tuple(pack_target(t, now) for t in targets if t is not None)
 
     def find_live_names(self, epoch: str, revision: int) -> tuple[str, ...]:
-        """Return which targets an entry should know to live.
+        """Return the targets heard since an entry's revision.
 
-        Names alone, as nothing else is new: what a voter tells grows as the
-        targets times the entries.
+        Names suffice for unchanged targets, and limit the traffic, which
+        grows with the number of targets times the number of entries.
 
-        :param epoch: of this voter, as the entry knows it
-        :param revision: up to which it has everything
+        :param epoch: this voter's epoch as known to the entry
+        :param revision: last revision that the entry has received
+        :returns: names of the targets; empty if the epochs differ
         """
         if epoch != self.epoch:
             return ()
         return tuple(_find_newer(self._liveness_revisions, revision))
 
     def expire(self) -> None:
-        """Drop targets that have long been silent."""
+        """Remove targets that have expired."""
         self._table.forget(self._clock.monotonic())
         for instance in list(self._liveness_revisions):
             if self._table.get(instance) is None:
@@ -235,7 +236,7 @@
 def _record_revision(
     revisions: dict[str, int], name: str, revision: int
 ) -> None:
-    """Note a revision, and keep the dictionary in the order of these."""
+    """Set a name's revision, keeping the dictionary sorted by revision."""
     revisions.pop(name, None)
     revisions[name] = revision
 
@@ -243,7 +244,7 @@
 def _find_newer(
     revisions: dict[str, int], revision: int
 ) -> collections.abc.Iterator[str]:
-    """Return the names that are newer than a revision, newest first."""
+    """Yield the names with a later revision, latest first."""
     for name in reversed(revisions):
         if revisions[name] <= revision:
             return
--- a/packages/gateway/src/chivepier/gateway/control/statecache.py
+++ b/packages/gateway/src/chivepier/gateway/control/statecache.py
@@ -1,4 +1,4 @@
-"""What a voter may tell at once after a restart."""
+"""On-disk cache of the state that a voter serves right after a restart."""
 
 import asyncio
 import pathlib
@@ -23,27 +23,26 @@
 from chivepier.types import Clock
 
 FILE_NAME = "known"
-# Seconds between two writes: targets come and go all the time, and each
-# write takes the disk's sync.
+# Targets change all the time, and each write costs a sync of the disk.
 MIN_WRITE_INTERVAL_SECONDS = 1.0
 
 
 class StateCache:
-    """Keeps the committed configuration and the targets beside the log.
+    """Saves the committed configuration, zone orders, targets and quarantine.
 
-    A voter that restarts does not know which entries of its log are
-    committed until a leader tells it. When all processes are killed at once,
-    entries would refuse every caller until a leader is elected, one to two
-    seconds more, and then until each target has announced itself. What was
-    committed stays so; targets that have ended since are found out by the
-    first connection that they refuse. Without what is known of requests that
-    end targets, each of these would end three more.
+    After a restart, a voter does not know which log entries are committed
+    until it hears from a leader. Without the cache, entries would reject every
+    caller after a restart of all processes, until a leader is elected (1 to
+    2 s) and each target has announced itself. Cached data is safe: committed
+    entries stay committed, and a target that has ended refuses its first
+    connection. Without the quarantine records, each request that crashes
+    targets would crash three more.
 
-    :param folder: the voter's data folder
-    :param table: the targets
-    :param ledger: requests that end targets
-    :param clock: monotonic time
-    :param log: failures of the disk
+    :param folder: data directory of the voter
+    :param table: table of the targets
+    :param ledger: records of requests that crash targets
+    :param clock: monotonic clock
+    :param log: receives failures of reads and writes
     """
 
     def __init__(
@@ -63,9 +62,9 @@
         table.watchers.append(lambda target, before: self._dirty.set())
 
     def load(self) -> StoredConfig | None:
-        """Read the file: targets go to the table.
+        """Read the file and restore targets, zone orders and quarantine.
 
-        :returns: the configuration, if one was known
+        :returns: the committed configuration, if one was saved
         """
         path = self._folder / FILE_NAME
         if not path.exists():
@@ -74,13 +73,13 @@
             payloads, _ = read_records(path.read_bytes(), FILE_NAME)
             version, body, targets, *rest = cbor2.loads(payloads[0])
         except (DamagedError, IndexError, ValueError, OSError) as error:
-            # it spares waiting only; what counts is in the log
+            # The cache only saves waiting; the log holds the durable state.
             self._log.warn("known_state_unread", error=repr(error))
             return None
         now = self._clock.monotonic()
         for fields in targets:
             self._table.put(unpack_target(TargetRecord(*fields), now))
-        # a file of an earlier release has neither of the two
+        # Files of earlier releases lack the last one or two fields.
         endings, orders = (*rest, (), ())[:2]
         for zone, index, evacuated in orders:
             order = ZoneOrder(zone, index, evacuated, now)
@@ -92,9 +91,9 @@
         return StoredConfig(version, body) if version >= 0 else None
 
     async def run(self, store: ConfigStore) -> None:
-        """Write what is new, for as long as the node lives.
+        """Write the file after each change until cancelled.
 
-        :param store: the configuration
+        :param store: store of the configuration
         """
         while True:
             await self._dirty.wait()
@@ -109,7 +108,7 @@
             await self._clock.sleep(MIN_WRITE_INTERVAL_SECONDS)
 
     def mark_dirty(self) -> None:
-        """Note a configuration that was committed, or what ended targets."""
+        """Schedule a write after a change of anything but the targets."""
         self._dirty.set()
 
     def _pack(self, store: ConfigStore) -> tuple:
@@ -128,8 +127,8 @@
                     record.number,
                     record.slots,
                     record.warming,
-                    # as if heard when it is loaded: how long the process
-                    # will have been away isn't known
+                    # Age 0: the target counts as heard at the time of loading,
+                    # as the downtime of this process is unknown.
                     0.0,
                     record.born,
                 )
--- a/packages/gateway/src/chivepier/gateway/control/storedconfig.py
+++ b/packages/gateway/src/chivepier/gateway/control/storedconfig.py
@@ -1,14 +1,14 @@
-"""A configuration as it was sent."""
+"""A configuration document and its version."""
 
 import attrs
 
 
 @attrs.frozen
 class StoredConfig:
-    """A configuration as it was sent.
+    """A configuration as received from the operator.
 
-    :param version: the operator's
-    :param body: byte for byte
+    :param version: version number set by the operator
+    :param body: the unmodified bytes of the configuration
     """
 
     version: int
--- a/packages/gateway/src/chivepier/gateway/control/voter.py
+++ b/packages/gateway/src/chivepier/gateway/control/voter.py
@@ -1,4 +1,4 @@
-"""A voter: replica, store, registry and directory in one process."""
+"""A voter: replica, stores, registry and relays in one process."""
 
 import asyncio
 import contextlib
@@ -50,20 +50,21 @@
 from chivepier.wire import PeerServer
 from chivepier.wire import RefusedError
 
-# Seconds between two tellings of which targets live; entries leave out those
-# that have missed several announcements.
+# Seconds between two exchanges of live targets with the other voters; entries
+# skip targets that have missed several announcements.
 TARGET_SYNC_INTERVAL_SECONDS = 1.0
-# Seconds between two rounds of dropping what has long been silent.
+# Seconds between two removals of expired entries, targets and records.
 EXPIRY_INTERVAL_SECONDS = 5.0
 
 
 class Voter:
-    """Runs everything that an instance with a disk does.
+    """Runs the services of an instance with a disk.
 
-    :param settings: from its start
-    :param clock: counts suspension too
-    :param log: what this process believes
-    :param decode_host_regions: reads the regions that a configuration allows
+    :param settings: settings of this voter
+    :param clock: monotonic clock that includes time in suspension
+    :param log: log of this process
+    :param decode_host_regions: decodes the allowed regions of each host from
+        a configuration's bytes
     """
 
     def __init__(
@@ -248,20 +249,20 @@
         )
 
     def _find_orders(self, index: int) -> tuple[ZoneRecord, ...]:
-        """Return all orders about zones, where one lacks any."""
+        """Return all zone orders if any is newer than a log index."""
         if self.zones.newest <= index:
             return ()
         now = self._clock.monotonic()
         return tuple(pack_order(order, now) for order in self.zones.orders)
 
     def knows_zone(self, zone: str) -> bool:
-        """Tell whether the settings or a target name a zone."""
+        """Tell whether the settings or any target contain a zone."""
         if self.zones.knows(zone):
             return True
         return any(target.zone == zone for target in self.table)
 
     async def _push_changes(self) -> None:
-        """Tell the entries of each new configuration and order at once."""
+        """Push each new configuration and zone order to the entries."""
         pushed_version = -1
         while True:
             if self.orders.apply_committed():
--- a/packages/gateway/src/chivepier/gateway/control/zonestore.py
+++ b/packages/gateway/src/chivepier/gateway/control/zonestore.py
@@ -1,4 +1,4 @@
-"""Operators' orders about availability zones, in the replicated log."""
+"""Store of the zones' evacuation orders in the replicated log."""
 
 import collections.abc
 
@@ -22,35 +22,34 @@
 from chivepier.wire import LinkError
 
 DOCUMENT_KIND = "zone"
-# Seconds for which a node looks for a leader on behalf of an operator, who
-# turns to another node after one second.
+# Seconds for which a node tries to reach a leader for an operator; the client
+# tries another node after one second.
 LEADER_SEARCH_SECONDS = 0.9
-# Seconds between two looks for a leader; a vote takes some tens of ms.
+# Seconds between two attempts; an election takes some tens of milliseconds.
 LEADER_RETRY_SECONDS = 0.05
-# Seconds after which the end of a connection that had come with an order has
-# been noticed: some rounds of the event loop.
+# Seconds in which the event loop notices that the connection of an order has
+# been closed: some iterations of the loop.
 DISCONNECT_NOTICE_SECONDS = 0.02
 
 
 class ZoneStore:
-    """Carries out orders about zones, and follows those of others.
-
-    Each zone's last order is a document of the log: as durable as the
-    configuration, in the same snapshots, and told to a voter that starts
-    anew. An order has no version of its own, and is sent again when its
-    acknowledgement is lost; what is wanted already is acknowledged without
-    another change.
-
-    A repeat that was held up must not undo the order that was given since:
-    a voter that stood still wakes with it, as if it had just come. So it is
-    carried out only if the zone's last order is still the one that the
-    voter knew, and while its sender waits. Ending an evacuation that never
-    was is written down, too: it makes an older repeat of its beginning fail.
-
-    :param leader: the way to the leader
-    :param zones: is given what was committed
-    :param clock: monotonic time
-    :param log: what this process believes
+    """Commits evacuation orders and applies committed ones to the zones.
+
+    The last order of each zone is a document in the replicated log, with the
+    same durability and snapshots as the configuration. An order has no version
+    and is retried when its acknowledgement is lost; an order that is already
+    in force is acknowledged without a change.
+
+    A delayed retry must not undo a later order: after a pause of the process,
+    a voter handles it as if it had just arrived. It is therefore committed
+    only if the zone's last order is still the one that the voter knew and if
+    its sender still waits. A readmission of a zone that is not evacuated is
+    committed too, so that a delayed retry of an earlier evacuation fails.
+
+    :param leader: client for requests to the leader
+    :param zones: receives committed orders
+    :param clock: monotonic clock
+    :param log: receives committed orders and failed requests
     """
 
     def __init__(
@@ -68,13 +67,13 @@
         return self._leader.replica.machine
 
     def presume(self, entries: collections.abc.Iterable[Entry]) -> None:
-        """Keep to the orders of the log's end until their outcome is known.
+        """Treat evacuations in the local log as in force for the time being.
 
-        A voter that starts anew does not know which entries are committed
-        until a leader tells it. What was acknowledged just before is among
-        them, and its targets are told to entries at once.
+        After a restart, a voter does not know which log entries are committed
+        until it hears from a leader. They include orders that were
+        acknowledged just before, while targets are sent to entries at once.
 
-        :param entries: all that the log holds
+        :param entries: all entries of the local log
         """
         last, presumed = None, set()
         for last in entries:
@@ -89,11 +88,11 @@
             self._zones.presume(zone, float("inf"))
 
     def find_presumed(self) -> tuple[str, ...]:
-        """Return the zones whose orders have no known outcome yet."""
+        """Return the zones with an evacuation whose outcome is unknown."""
         term, index = self._log_end
         machine = self._machine
-        # an entry of a later term, or the log's end, is applied: whatever
-        # was committed before is applied, too
+        # Once an entry of a later term, or the end of the log, is applied, all
+        # entries committed before it are applied, too.
         if machine.term > term or machine.index >= index:
             for zone in self._presumed:
                 self._zones.withdraw(zone)
@@ -101,9 +100,9 @@
         return self._presumed
 
     def apply_committed(self) -> bool:
-        """Take what was committed since.
+        """Apply newly committed orders to the zones.
 
-        :returns: whether there was any order among it
+        :returns: whether there were any
         """
         changed = False
         now = self._clock.monotonic()
@@ -124,15 +123,16 @@
         return changed
 
     async def submit(self, zone: str, evacuated: bool) -> bool:
-        """Carry out an order; see :meth:`commit`."""
+        """Prepare an order and commit it; see :meth:`commit`."""
         order = self.prepare(zone, evacuated)
         return await self.commit(order, lambda: True)
 
     def prepare(self, zone: str, evacuated: bool) -> PreparedOrder:
-        """Note what is known of a zone when an order about it comes.
+        """Record the last known order of a zone when a new one arrives.
 
-        :param zone: its name
-        :param evacuated: whether nothing new may be sent there
+        :param zone: name of the availability zone
+        :param evacuated: whether no new requests may be sent to the zone
+        :returns: the order to pass to :meth:`commit`
         """
         known = self._zones.find_order(zone)
         now = self._clock.monotonic()
@@ -145,9 +145,10 @@
     ) -> bool:
         """Write an order to the log.
 
-        :param order: as it came
-        :param waits: whether its sender still waits for the answer
-        :returns: whether it is in force for good; if not, it may be
+        :param order: the prepared order
+        :param is_waiting: tells whether the sender still waits for the answer
+        :returns: ``True`` if the order is committed; ``False`` if its outcome
+            is unknown
         """
         await self._clock.sleep(DISCONNECT_NOTICE_SECONDS)
         if not is_waiting():
@@ -170,7 +171,7 @@
             if not answer.index:
                 await self._clock.sleep(LEADER_RETRY_SECONDS)
             elif is_waiting():
-                # it was this node that knew too little
+                # This node had not yet applied the zone's last order.
                 base = answer.index
             else:
                 break
@@ -178,10 +179,10 @@
         return False
 
     async def handle(self, request: ZoneRequest) -> ZoneAnswer:
-        """Write another voter's order, as the leader.
+        """Commit an order as the leader.
 
-        :param request: the order
-        :returns: the answer; unsure when this node does not lead
+        :param request: the order, sent by any voter
+        :returns: the answer; not accepted if this node does not lead
         """
         try:
             await self._leader.wait_for_commits()
@@ -206,8 +207,8 @@
 
     async def _propose(self, request: ZoneRequest):
         spec = cbor2.dumps(request.evacuated)
-        # one change for each order that it follows: a repeat of this one
-        # gets the same answer
+        # The name makes retries idempotent: an order with the same base is the
+        # same change and gets the stored answer.
         verb = "evacuate" if request.evacuated else "readmit"
         name = f"{verb}-{request.zone}-{request.base_index}"
         edit = Edit(DOCUMENT_KIND, request.zone, request.base_index, spec)
@@ -218,7 +219,7 @@
 def _decode_orders(
     entry: Entry,
 ) -> collections.abc.Iterator[tuple[str, bool]]:
-    # most entries hold whole configurations: these are not read
+    # Skips decoding of configurations, which make up most log entries.
     if DOCUMENT_KIND.encode() not in entry.command:
         return
     command = decode(entry.command)
--- a/packages/gateway/src/chivepier/gateway/messages/__init__.py
+++ b/packages/gateway/src/chivepier/gateway/messages/__init__.py
@@ -1,4 +1,4 @@
-"""What entries and voters say to each other."""
+"""Messages exchanged between entries and voters."""
 
 from chivepier.gateway.messages.clearancerecord import ClearanceRecord
 from chivepier.gateway.messages.configanswer import ConfigAnswer
--- a/packages/gateway/src/chivepier/gateway/messages/clearancerecord.py
+++ b/packages/gateway/src/chivepier/gateway/messages/clearancerecord.py
@@ -5,7 +5,11 @@
 
 @message(167)
 class ClearanceRecord:
-    """A request that a target answered whole, so many seconds ago."""
+    """A suspected request that a target has answered completely.
+
+    ``digest`` identifies the request, ``age`` is the number of seconds since
+    the answer, and ``source`` is the entry that saw it.
+    """
 
     digest: str
     age: float
--- a/packages/gateway/src/chivepier/gateway/messages/configanswer.py
+++ b/packages/gateway/src/chivepier/gateway/messages/configanswer.py
@@ -7,9 +7,11 @@
 
 @message(155)
 class ConfigAnswer:
-    """A configuration as it was sent; ``known`` is false when unsure.
+    """Answer to a :class:`ConfigRequest`.
 
-    ``packed`` is its body, compressed, as it would hold up an entry's link.
+    ``known`` is false if there is no configuration or it can't be confirmed.
+    ``compressed_body`` is its body, compressed so that a large one does not
+    delay other messages on the connection.
     """
 
     known: bool
@@ -17,5 +19,5 @@
     compressed_body: bytes
 
     def unpack(self) -> bytes:
-        """Return the body, byte for byte as it was sent."""
+        """Return the decompressed body, identical to the operator's bytes."""
         return zlib.decompress(self.compressed_body)
--- a/packages/gateway/src/chivepier/gateway/messages/confignotice.py
+++ b/packages/gateway/src/chivepier/gateway/messages/confignotice.py
@@ -5,6 +5,6 @@
 
 @message(162)
 class ConfigNotice:
-    """A voter holds a configuration of this version."""
+    """Announces the version of a newly committed configuration."""
 
     version: int
--- a/packages/gateway/src/chivepier/gateway/messages/configrequest.py
+++ b/packages/gateway/src/chivepier/gateway/messages/configrequest.py
@@ -5,9 +5,10 @@
 
 @message(154)
 class ConfigRequest:
-    """Ask for the newest configuration that the asked node holds.
+    """Requests the latest configuration known to the receiver.
 
-    ``confirmed``: the answer must hold all that was accepted before.
+    ``confirmed`` requires a linearizable read: the answer must include every
+    write that was acknowledged before.
     """
 
     confirmed: bool
--- a/packages/gateway/src/chivepier/gateway/messages/endingrecord.py
+++ b/packages/gateway/src/chivepier/gateway/messages/endingrecord.py
@@ -5,11 +5,12 @@
 
 @message(166)
 class EndingRecord:
-    """A target that ended while it ran a request.
+    """A target that ended while it was processing a request.
 
-    ``instance`` and ``born`` name one life of the target; ``age`` is how long
-    ago its end was seen, in seconds, as clocks of nodes differ; ``source`` is
-    the entry that saw it, and ``how`` what showed it.
+    ``digest`` identifies the request, ``instance`` and ``born`` identify one
+    incarnation of the target. ``age`` is the number of seconds since the end
+    was seen, sent as an age because clocks of nodes differ. ``source`` is the
+    entry that saw the end, and ``how`` the evidence for it.
     """
 
     digest: str
--- a/packages/gateway/src/chivepier/gateway/messages/entrybeat.py
+++ b/packages/gateway/src/chivepier/gateway/messages/entrybeat.py
@@ -9,18 +9,18 @@
 
 @message(152)
 class EntryBeat:
-    """An entry tells a voter that it lives, and what it has.
+    """Heartbeat of an entry to a voter, with the state that it has received.
 
-    ``revision`` counts what it heard of this voter's targets since the
-    voter's start named by ``epoch``. ``follows``: this voter is the one that
-    tells it what runs elsewhere and which targets were heard. ``held`` counts
-    what it has of this voter's quarantine; ``endings`` and ``clearances`` are
-    what it saw itself and this voter has not confirmed yet. ``orders`` is the
-    log index up to which it has all orders about availability zones.
-    ``limits_held`` counts what it has of the limits that this voter knows;
-    ``limits`` are those that it was told by targets, and this voter has not
-    confirmed yet. ``leaving`` are the targets that told it in an answer that
-    they leave.
+    ``ready`` is set while callers may connect, and ``version`` is that of
+    its configuration. ``revision`` is the last revision of the voter's targets
+    that the entry has received, and ``epoch`` the run of the voter that it
+    belongs to. ``follows`` is set for the voter that sends the entry loads of
+    other entries and names of live targets. ``quarantine_revision`` and
+    ``limits_revision`` are the last received revisions of quarantine records
+    and rate limits. ``endings``, ``clearances`` and ``limits`` are the entry's
+    own observations that the voter has not acknowledged yet. ``orders`` is the
+    log index up to which the entry has all zone orders. ``leaving`` are the
+    targets that told the entry in a response that they are leaving.
     """
 
     node: str
--- a/packages/gateway/src/chivepier/gateway/messages/entrybeatanswer.py
+++ b/packages/gateway/src/chivepier/gateway/messages/entrybeatanswer.py
@@ -10,18 +10,19 @@
 
 @message(153)
 class EntryBeatAnswer:
-    """What an entry lacks.
+    """Answer to an :class:`EntryBeat`, with the changes the entry lacks.
 
-    ``voters`` are the peer addresses of the voters, empty where the entry has
-    been told; ``entries`` is how many entries are alive, for shares of common
-    budgets. ``heard`` names targets that said nothing new, but live. ``hears``
-    is how many voters this one hears, ``group`` the first of these by
-    address, itself included. ``endings`` and ``clearances`` are what it lacks
-    of requests that end targets, up to the revision ``held``. ``orders`` are
-    those about availability zones, empty where it has them all; ``presumed``
-    names zones that may be evacuated by an order whose outcome this voter
-    does not know yet. ``limits`` are the limits of targets that it lacks, up
-    to the revision ``limits_held``.
+    ``voters`` are the peer addresses of the voters, empty if the entry has
+    received them; ``entries`` is the number of known entries, which share
+    common budgets. ``records`` are changed targets, ``live_targets`` the names
+    of unchanged ones heard since. ``zone`` is the voter's availability zone,
+    ``reachable_voters`` the number of voters that it reaches and
+    ``first_voter`` the lowest address of these, both including itself.
+    ``endings`` and ``clearances`` are quarantine records up to the revision
+    ``quarantine_revision``, and ``limits`` are rate limits up to the revision
+    ``limits_revision``. ``orders`` are all zone orders, empty if none is new;
+    ``presumed`` are zones that may be evacuated by an order whose outcome is
+    unknown to the voter.
     """
 
     epoch: str
--- a/packages/gateway/src/chivepier/gateway/messages/joinanswer.py
+++ b/packages/gateway/src/chivepier/gateway/messages/joinanswer.py
@@ -5,7 +5,11 @@
 
 @message(159)
 class JoinAnswer:
-    """Which cluster it may join, and who votes there."""
+    """Answer to a :class:`JoinRequest`.
+
+    ``cluster`` identifies the receiver's cluster, ``votes`` is set if the
+    asking instance is a voter, and ``voters`` are the voters' addresses.
+    """
 
     cluster: str
     votes: bool
--- a/packages/gateway/src/chivepier/gateway/messages/joinrequest.py
+++ b/packages/gateway/src/chivepier/gateway/messages/joinrequest.py
@@ -5,7 +5,7 @@
 
 @message(158)
 class JoinRequest:
-    """An instance with a disk and no vote asks to be a voter."""
+    """Requests a vote for an instance with a disk."""
 
     node: str
     address: str
--- a/packages/gateway/src/chivepier/gateway/messages/leavingrecord.py
+++ b/packages/gateway/src/chivepier/gateway/messages/leavingrecord.py
@@ -5,9 +5,9 @@
 
 @message(177)
 class LeavingRecord:
-    """One life of a target said in an answer that it leaves.
+    """An incarnation of a target that announced in a response that it leaves.
 
-    ``born`` is the Unix millisecond of its start, 0 where it does not tell.
+    ``born`` is its start in Unix milliseconds, 0 if unknown.
     """
 
     instance: str
--- a/packages/gateway/src/chivepier/gateway/messages/limitnotice.py
+++ b/packages/gateway/src/chivepier/gateway/messages/limitnotice.py
@@ -6,6 +6,6 @@
 
 @message(176)
 class LimitNotice:
-    """Limits that targets have named, or name no more."""
+    """Pushes rate limits that targets have set or removed."""
 
     records: tuple[LimitRecord, ...]
--- a/packages/gateway/src/chivepier/gateway/messages/limitrecord.py
+++ b/packages/gateway/src/chivepier/gateway/messages/limitrecord.py
@@ -5,12 +5,12 @@
 
 @message(175)
 class LimitRecord:
-    """The rate that one life of a target takes from all entries.
+    """A rate limit of one incarnation of a target, over all entries.
 
-    ``version`` orders what is told of one life; ``rate`` is in requests a
-    second, below zero where nothing bounds them any more; ``source`` is the
-    entry that was answered so, ``age`` how long ago, in seconds, as clocks of
-    nodes differ.
+    ``version`` orders the limits of one incarnation. ``rate`` is in requests
+    per second, negative if the limit was removed. ``source`` is the entry that
+    received the limit, and ``age`` the number of seconds since, sent as an age
+    because clocks of nodes differ.
     """
 
     instance: str
--- a/packages/gateway/src/chivepier/gateway/messages/loaddigest.py
+++ b/packages/gateway/src/chivepier/gateway/messages/loaddigest.py
@@ -8,11 +8,11 @@
 
 @message(164)
 class LoadDigest:
-    """What the entries that follow one voter run and let wait, summed up.
+    """Aggregated loads of the followers of one voter.
 
-    A record of the voter's own name is the sum over its entries; those of
-    entries carry only how long they copy off a leaving target. ``whole``:
-    what is not named here has ended.
+    Records under the voter's own name are sums over its followers; those under
+    an entry's name only contain the entry's turn to copy KV memory off a
+    leaving target. If ``whole`` is set, the digest replaces all earlier ones.
     """
 
     voter: str
--- a/packages/gateway/src/chivepier/gateway/messages/loadnotice.py
+++ b/packages/gateway/src/chivepier/gateway/messages/loadnotice.py
@@ -8,9 +8,9 @@
 
 @message(161)
 class LoadNotice:
-    """Loads, queues and repeats that changed.
+    """Changed loads, queue lengths and retries of entries.
 
-    ``whole``: what is not named here has ended.
+    If ``whole`` is set, the notice replaces all earlier ones.
     """
 
     records: tuple[LoadRecord, ...]
--- a/packages/gateway/src/chivepier/gateway/messages/loadrecord.py
+++ b/packages/gateway/src/chivepier/gateway/messages/loadrecord.py
@@ -5,14 +5,15 @@
 
 @message(160)
 class LoadRecord:
-    """What one entry runs at one target: absolute counts.
+    """Load of one entry on one target, in absolute counts.
 
-    ``reading`` is the part of ``tokens`` that is still to be read in.
-    ``turn`` is how long it needs to copy memory off a target that leaves, in
-    milliseconds, and ``copying`` is set while it does so. ``receiving`` counts
-    the copies that it sends to the target. ``avoiding`` is 1 while the entry
-    sends nothing there, as it could not reach the target or lost a request at
-    it; in a voter's sums, how many entries do.
+    ``runs`` is the number of running requests and ``tokens`` the KV memory
+    that they take; ``reading`` is the part of ``tokens`` not prefilled yet.
+    ``copy_ms`` is the time in milliseconds that the entry needs to copy KV
+    memory off a leaving target, and ``copying`` is set during the copy.
+    ``receiving`` is the number of copies being sent to the target.
+    ``avoiding`` is 1 while the entry avoids the target after a connection
+    failure or a lost request; in a voter's sums, it counts such entries.
     """
 
     entry: str
--- a/packages/gateway/src/chivepier/gateway/messages/permitanswer.py
+++ b/packages/gateway/src/chivepier/gateway/messages/permitanswer.py
@@ -5,10 +5,11 @@
 
 @message(174)
 class PermitAnswer:
-    """Whether the send is permitted.
+    """Answer to a :class:`PermitRequest`.
 
-    ``wait`` is the seconds until it may be sent, or until it is worth asking
-    again. ``led`` is false where no leader could be asked.
+    ``wait`` is the number of seconds until the request may be sent or, if not
+    granted, until another attempt is useful. ``has_leader`` is false if no
+    leader could be reached.
     """
 
     granted: bool
--- a/packages/gateway/src/chivepier/gateway/messages/permitrequest.py
+++ b/packages/gateway/src/chivepier/gateway/messages/permitrequest.py
@@ -5,14 +5,14 @@
 
 @message(173)
 class PermitRequest:
-    """Ask the leader for one send to a target that takes few.
+    """Requests a permit to send one request to a cold or rate-limited target.
 
-    ``most`` is how many a cold target bears in any second from all entries
-    together, 0 where it is not cold. ``rate`` is how many a second a target
-    in need takes from all entries, below zero where it names none; then
-    ``team`` and ``urgency`` are those of the request, and ``patience`` the
-    seconds that it can wait for its turn. ``lapse`` is the seconds from the
-    question on in which leave may be used.
+    ``cold_limit`` is the number of requests per second that a cold target can
+    take from all entries together, 0 if it is not cold. ``rate`` is the rate
+    limit of the target in requests per second, negative if it has none. With a
+    rate limit, ``team`` and ``urgency`` are those of the request, and
+    ``max_wait`` is the number of seconds that it can wait. ``permit_seconds``
+    is the lifetime of the permit, in seconds from the time of asking.
     """
 
     instance: str
--- a/packages/gateway/src/chivepier/gateway/messages/quarantinenotice.py
+++ b/packages/gateway/src/chivepier/gateway/messages/quarantinenotice.py
@@ -7,7 +7,7 @@
 
 @message(168)
 class QuarantineNotice:
-    """Targets that ended under requests, and requests that were answered."""
+    """Pushes quarantine records: ends of targets and cleared requests."""
 
     endings: tuple[EndingRecord, ...] = ()
     clearances: tuple[ClearanceRecord, ...] = ()
--- a/packages/gateway/src/chivepier/gateway/messages/queuerecord.py
+++ b/packages/gateway/src/chivepier/gateway/messages/queuerecord.py
@@ -5,7 +5,7 @@
 
 @message(163)
 class QueueRecord:
-    """How many requests of one rank wait at one entry for a service."""
+    """Number of requests of one rank that wait at one entry for a service."""
 
     entry: str
     service: str
--- a/packages/gateway/src/chivepier/gateway/messages/repeatrecord.py
+++ b/packages/gateway/src/chivepier/gateway/messages/repeatrecord.py
@@ -5,7 +5,7 @@
 
 @message(165)
 class RepeatRecord:
-    """How many repeats one entry has sent lately out of what all share."""
+    """Retries that one entry has recently used out of the shared budget."""
 
     entry: str
     service: str
--- a/packages/gateway/src/chivepier/gateway/messages/targetnotice.py
+++ b/packages/gateway/src/chivepier/gateway/messages/targetnotice.py
@@ -6,6 +6,6 @@
 
 @message(151)
 class TargetNotice:
-    """Targets that changed."""
+    """Pushes targets that have changed."""
 
     records: tuple[TargetRecord, ...]
--- a/packages/gateway/src/chivepier/gateway/messages/targetrecord.py
+++ b/packages/gateway/src/chivepier/gateway/messages/targetrecord.py
@@ -5,11 +5,11 @@
 
 @message(150)
 class TargetRecord:
-    """What a target last said of itself.
+    """The last announcement of a target.
 
-    ``born`` is the Unix millisecond of the target's start, and ``number``
-    orders what it has said since; ``age`` is for how long the sender has held
-    it, in seconds, as clocks of nodes differ.
+    ``born`` is the target's start in Unix milliseconds, and ``number`` orders
+    the announcements since. ``age`` is the number of seconds since the
+    announcement, sent as an age because clocks of nodes differ.
     """
 
     instance: str
--- a/packages/gateway/src/chivepier/gateway/messages/writeanswer.py
+++ b/packages/gateway/src/chivepier/gateway/messages/writeanswer.py
@@ -5,7 +5,7 @@
 
 @message(157)
 class WriteAnswer:
-    """Whether it is accepted; if not, the outcome is unknown."""
+    """Answer to a :class:`WriteRequest`; if not accepted, outcome unknown."""
 
     accepted: bool
     reason: str
--- a/packages/gateway/src/chivepier/gateway/messages/writerequest.py
+++ b/packages/gateway/src/chivepier/gateway/messages/writerequest.py
@@ -5,7 +5,7 @@
 
 @message(156)
 class WriteRequest:
-    """Commit a whole configuration, asked of the leader."""
+    """Requests the leader to commit a whole configuration."""
 
     version: int
     body: bytes
--- a/packages/gateway/src/chivepier/gateway/messages/zoneanswer.py
+++ b/packages/gateway/src/chivepier/gateway/messages/zoneanswer.py
@@ -5,10 +5,10 @@
 
 @message(172)
 class ZoneAnswer:
-    """Whether an order is in the log; if not, the outcome is unknown.
+    """Answer to a :class:`ZoneRequest`; if not accepted, outcome unknown.
 
-    ``index`` is that of the zone's last order where another one than the
-    asker knew stands in the log, and 0 else: then nothing was changed.
+    A nonzero ``index`` means that nothing was changed because the request's
+    base is outdated; it is the log index of the zone's last order.
     """
 
     accepted: bool
--- a/packages/gateway/src/chivepier/gateway/messages/zonenotice.py
+++ b/packages/gateway/src/chivepier/gateway/messages/zonenotice.py
@@ -6,6 +6,6 @@
 
 @message(170)
 class ZoneNotice:
-    """The last order about each availability zone that ever had one."""
+    """Pushes the last order of each availability zone that ever had one."""
 
     records: tuple[ZoneRecord, ...]
--- a/packages/gateway/src/chivepier/gateway/messages/zonerecord.py
+++ b/packages/gateway/src/chivepier/gateway/messages/zonerecord.py
@@ -5,10 +5,11 @@
 
 @message(169)
 class ZoneRecord:
-    """An operator's last order about an availability zone.
+    """The last order of an availability zone.
 
-    ``index`` is the order's place in the replicated log; ``age`` is for how
-    long the sender has held it, in seconds, as clocks of nodes differ.
+    ``index`` is the order's index in the replicated log. ``age`` is the number
+    of seconds since the sender learned of it, sent as an age because clocks of
+    nodes differ.
     """
 
     zone: str
--- a/packages/gateway/src/chivepier/gateway/messages/zonerequest.py
+++ b/packages/gateway/src/chivepier/gateway/messages/zonerequest.py
@@ -5,10 +5,10 @@
 
 @message(171)
 class ZoneRequest:
-    """Commit an order about an availability zone, asked of the leader.
+    """Requests the leader to commit an order for an availability zone.
 
-    ``base`` is the log index of the order that its receiver knew of this
-    zone, 0 for none: it is carried out only if that is still the last one.
+    ``base_index`` is the log index of the zone's last order known to the
+    sender, 0 for none; the order is committed only if it is still the last.
     """
 
     zone: str
