--- a/packages/gateway/src/chivepier/gateway/control/tests/fleet.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/fleet.py
@@ -1,4 +1,4 @@
-"""Voters and entries in one process, on loopback sockets, in played time."""
+"""Test fleet of voters and entries in one process, in simulated time."""
 
 import asyncio
 import contextlib
@@ -52,17 +52,17 @@
 
 
 def make_log(name: str) -> EventLog:
-    """Make a log that nobody reads."""
+    """Make a log that is discarded."""
     return EventLog(name, os.open(os.devnull, os.O_WRONLY))
 
 
 def decode(body: bytes) -> Configuration:
-    """Read the tests' configurations: a version and nothing else."""
+    """Decode a test configuration, which starts with its version."""
     return Configuration(version=int(body.split(b" ")[0]))
 
 
 class Follower:
-    """An entry's half of the control plane."""
+    """The control plane client of an entry."""
 
     def __init__(self, name: str, seeds: tuple[str, ...], zone: str = "z"):
         clock, log = LoopClock(), make_log(name)
@@ -117,16 +117,16 @@
             log=log,
         )
         self._stack = contextlib.AsyncExitStack()
-        self._under_way = 0
+        self._pending_beats = 0
         self._send_beat = self.following._beat
         self.following._beat = self._beat
 
     async def _beat(self, address, voter) -> None:
-        self._under_way += 1
+        self._pending_beats += 1
         try:
             await self._send_beat(address, voter)
         finally:
-            self._under_way -= 1
+            self._pending_beats -= 1
 
     async def _probe(self, target) -> Liveness:
         return Liveness.ENDED
@@ -136,11 +136,11 @@
 
     @property
     def hub(self) -> str | None:
-        """The voter that it follows."""
+        """Address of the voter that the entry follows."""
         return self.following.hub
 
-    def knows_all_of(self, voters: dict[str, Voter]) -> bool:
-        """Tell whether it has all that the voters know of targets."""
+    def is_up_to_date(self, voters: dict[str, Voter]) -> bool:
+        """Tell whether the entry has all target revisions of the voters."""
         known = self.following._voters
         return all(
             address in known
@@ -148,36 +148,36 @@
             for address, voter in voters.items()
         )
 
-    def lose_pushes(self) -> None:
-        """Hear nothing that voters say unasked."""
+    def drop_pushes(self) -> None:
+        """Drop all messages pushed by voters."""
         self.following.handle = lambda message, channel: None
 
     async def finish_beats(self):
-        """Begin no more beats, and return once all have been answered.
+        """Stop sending beats, and return once all have been answered.
 
-        :returns: what sends one
+        :returns: the original function that sends a beat
         """
         beat = self.following._beat
         self.stop_beats()
-        await wait_until(lambda: not self._under_way)
+        await wait_until(lambda: not self._pending_beats)
         return beat
 
     def stop_beats(self) -> None:
-        """Speak to no voter any more; what these push still comes."""
+        """Stop sending beats; messages pushed by voters still arrive."""
 
-        async def keep_still(address, voter) -> None:
+        async def skip_beat(address, voter) -> None:
             return
 
-        self.following._beat = keep_still
+        self.following._beat = skip_beat
 
     def borrow(self, service: str) -> bool:
-        """Take repeats until one of them was lent."""
+        """Use up the own retry budget; tell whether a retry was borrowed."""
         now = tell_time()
         self.budget.take(service, now, 1000)
         return any(record.used for record in self.budget.own(now))
 
-    def end_under(self, digest: str, instance: str) -> None:
-        """Let a target end under a request that this entry sent there."""
+    def simulate_crash(self, digest: str, instance: str) -> None:
+        """Simulate the end of a target during a request of this entry."""
         now = tell_time()
         target = Target(
             instance=instance,
@@ -201,20 +201,20 @@
         )
         self.quarantine.note_loss(loss)
 
-    def holds(self, digest: str) -> bool:
-        """Tell whether this entry holds a request back."""
+    def is_quarantined(self, digest: str) -> bool:
+        """Tell whether this entry quarantines a request."""
         return self.quarantine.find_hold(digest) is not None
 
     async def _ask_permit(self, request: PermitRequest) -> PermitAnswer | None:
         return await self.following.ask_permit(request)
 
     def is_cold(self, instance: str) -> bool:
-        """Tell whether a target counts as cold here."""
+        """Tell whether a target counts as cold at this entry."""
         target = self.table.get(instance)
         return self.permits.is_cold(COLD_SERVICE, target, tell_time())
 
     def tokens(self, instance: str) -> int:
-        """Count the memory that all entries take at a target."""
+        """Return the tokens that all entries use at a target."""
         return self.board.total(instance, 0.0).tokens
 
     async def __aenter__(self) -> "Follower":
@@ -227,10 +227,10 @@
 
 
 class Fleet:
-    """Starts, stops and wipes voters; leaving the context ends them all.
+    """Starts, stops and wipes voters; leaving the context stops them all.
 
-    :param folder: below which the data folders lie
-    :param size: voters that found the cluster
+    :param folder: parent of the data directories
+    :param size: number of initial voters
     """
 
     def __init__(self, folder: pathlib.Path, size: int = 3):
@@ -240,7 +240,7 @@
         self.voters: dict[str, Voter] = {}
 
     def make_address(self) -> str:
-        """Reserve an address."""
+        """Return an unused address."""
         return f"127.0.0.1:{find_port()}"
 
     async def __aenter__(self) -> "Fleet":
@@ -254,7 +254,7 @@
         await self._stack.aclose()
 
     async def start(self, address: str, found: bool = False) -> Voter:
-        """Start a voter on what its folder holds."""
+        """Start a voter on its existing data directory."""
         settings = VoterSettings(
             name=f"n{address}",
             address=address,
@@ -270,14 +270,14 @@
         return voter
 
     async def stop(self, address: str) -> None:
-        """Stop a voter; its folder stays."""
+        """Stop a voter, keeping its data directory."""
         await self.voters.pop(address).__aexit__()
 
     async def wipe(self, address: str) -> None:
-        """Lose the disk of a voter that was stopped.
+        """Remove the data directory of a stopped voter.
 
-        What it was writing in a thread may still come to its end, as it ran
-        in this process: until then a file is renamed while it is removed.
+        Retries, because a write in a thread of this process may still finish
+        and rename a file during the removal.
         """
         folder = self.find_folder(address)
         while folder.exists():
@@ -285,21 +285,21 @@
             await asyncio.sleep(0.01)
 
     def find_zone(self, address: str) -> str:
-        """Return a voter's availability zone; each has its own."""
+        """Return a voter's availability zone; each seed has its own."""
         known = address in self.seeds
         return f"z{self.seeds.index(address)}" if known else "z"
 
     def find_folder(self, address: str) -> pathlib.Path:
-        """Return a voter's data folder."""
+        """Return a voter's data directory."""
         return self._folder / address.replace(":", "-")
 
     async def follow(self, name: str, zone: str = "z") -> Follower:
-        """Start an entry's half."""
+        """Start the control plane client of an entry."""
         follower = Follower(name, self.seeds, zone)
         return await self._stack.enter_async_context(follower)
 
     async def follow_many(self, count: int) -> list[Follower]:
-        """Start so many entries' halves, spread over the voters."""
+        """Start several clients, distributed over the voters' zones."""
         followers = []
         for number in range(count):
             zone = f"z{number % len(self.seeds)}"
@@ -309,14 +309,14 @@
         return followers
 
     def find_leader(self) -> Voter | None:
-        """Return the voter that leads."""
+        """Return the leading voter, if any."""
         for voter in self.voters.values():
             if voter.replica.leads():
                 return voter
         return None
 
     async def write(self, version: int, text: str = "") -> None:
-        """Store a configuration through whichever voter takes it."""
+        """Store a configuration through any voter that accepts it."""
         body = f"{version} {text}".encode()
         while True:
             for voter in list(self.voters.values()):
@@ -324,7 +324,7 @@
                     return
 
     async def read(self, address: str) -> bytes:
-        """Read the newest configuration at one voter."""
+        """Read the latest configuration at one voter."""
         while True:
             stored = await self.voters[address].store.read()
             if stored is not None:
@@ -332,7 +332,7 @@
 
 
 async def wait_until(condition) -> None:
-    """Return once a condition holds; the test's own limit ends it else."""
+    """Wait for a condition, until the timeout of the test."""
     while not condition():
         await asyncio.sleep(0.02)
 
@@ -343,9 +343,9 @@
     size: int = 3,
     find_delay: FindDelay = find_none,
 ) -> None:
-    """Run a test's coroutine over a fleet, within a minute of played time.
+    """Run a test coroutine with a fleet, limited to 60 s of simulated time.
 
-    :param find_delay: for how long the process stands still, by the time
+    :param find_delay: returns the duration of a process stall by the time
     """
 
     async def work():
--- a/packages/gateway/src/chivepier/gateway/control/tests/stalls.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/stalls.py
@@ -1,4 +1,4 @@
-"""Stalls of a process, as of one that a busy machine lets run now and then."""
+"""Simulated process stalls, as caused by an overloaded machine."""
 
 import random
 
@@ -7,34 +7,38 @@
 
 @attrs.define
 class Stalls:
-    """Draws when a process stands still, and for how long.
+    """Draws random start times and durations of stalls.
 
-    :param seed: of the draws
-    :param gap: mean seconds from one stall to the next
-    :param most: longest stall in seconds
-    :param total: seconds of all stalls so far
+    :param seed: seed of the random numbers
+    :param mean_gap: mean time between two stalls, in seconds
+    :param max_seconds: maximum duration of a stall, in seconds
+    :param total: total duration of all stalls so far, in seconds
     """
 
     seed: int
-    gap: float
-    most: float
+    mean_gap: float
+    max_seconds: float
     total: float = 0.0
-    _drawn: random.Random = attrs.field(init=False)
-    _due: float | None = attrs.field(init=False, default=None)
+    _random: random.Random = attrs.field(init=False)
+    _next_start: float | None = attrs.field(init=False, default=None)
 
     def __attrs_post_init__(self) -> None:
-        self._drawn = random.Random(self.seed)
+        self._random = random.Random(self.seed)
 
     def find_delay(self, now: float) -> float:
-        """Return the seconds for which the process stands still now.
+        """Return the duration of a stall at the given time, in seconds.
 
-        :param now: seconds played
+        :param now: simulated time, in seconds
         """
-        if self._due is None:
-            self._due = now + self._drawn.expovariate(1 / self.gap)
-        if now < self._due:
+        if self._next_start is None:
+            self._next_start = now + self._random.expovariate(
+                1 / self.mean_gap
+            )
+        if now < self._next_start:
             return 0.0
-        seconds = self._drawn.uniform(0.0, self.most)
-        self._due = now + seconds + self._drawn.expovariate(1 / self.gap)
+        seconds = self._random.uniform(0.0, self.max_seconds)
+        self._next_start = (
+            now + seconds + self._random.expovariate(1 / self.mean_gap)
+        )
         self.total += seconds
         return seconds
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_avoidance.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_avoidance.py
@@ -1,4 +1,4 @@
-"""Tests of what entries tell each other of targets that don't answer."""
+"""Tests of sharing unreachable targets between entries."""
 
 import random
 
@@ -15,7 +15,7 @@
 
 
 class Caller:
-    """An entry that sends lookups to three targets, one of them dead."""
+    """An entry that sends requests to three targets, one of them dead."""
 
     def __init__(self, follower, number: int):
         self.follower = follower
@@ -32,7 +32,7 @@
         )
 
     def send(self) -> bool:
-        """Send one lookup; whether a dead target lost it."""
+        """Send one request; tell whether it was lost at the dead target."""
         target = self.chooser.choose("s", None, None)
         if target.instance != "dead":
             return False
@@ -40,18 +40,19 @@
         return True
 
     def count_avoiding(self) -> int:
-        """Count the entries that avoid the dead target, as known here."""
+        """Return how many entries are known to avoid the dead target."""
         now = tell_time()
         return self.follower.board.count_avoiding("dead", now)
 
 
-def test_entries_need_not_each_lose_a_request_at_a_dead_target(tmp_path):
-    # Each entry found out by itself, with a lost request, that a target is
-    # dead.
+def test_few_lost_requests_suffice_to_avoid_a_dead_target(tmp_path):
+    # Guards against every entry losing a request to find out by itself that a
+    # target is dead.
     async def test(fleet):
         followers = await fleet.follow_many(ENTRIES)
         for number, follower in enumerate(followers):
-            # each the voter of its zone: what they say crosses between them
+            # entries follow the voters of different zones, so that their
+            # reports pass between the voters
             near = fleet.seeds[number % len(fleet.seeds)]
             await wait_until(lambda f=follower, n=near: f.hub == n)
         callers = [Caller(f, n) for n, f in enumerate(followers)]
@@ -63,15 +64,15 @@
                     await wait_until(
                         lambda o=other: o.count_avoiding() >= min(lost, 3)
                     )
-        # three words are enough; by themselves, 13 to 20 of 40 lost one
+        # three reports suffice; without sharing, 13 to 20 of 40 lose a request
         assert lost <= 3
 
     play(test, tmp_path)
 
 
-def test_entry_that_reaches_no_target_takes_none_from_the_others(tmp_path):
-    # It is the entries' zone that is cut off there, not the targets: what
-    # all of them are said to be is no reason to avoid one.
+def test_reports_of_partitioned_entries_exclude_no_target(tmp_path):
+    # Entries that avoid all targets are partitioned themselves; their reports
+    # must not make others avoid any target.
     async def test(fleet):
         followers = await fleet.follow_many(5)
         callers = [Caller(f, n) for n, f in enumerate(followers)]
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_followers.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_followers.py
@@ -1,4 +1,4 @@
-"""Tests of how entries follow voters, on loopback."""
+"""Tests of entries that receive state from voters."""
 
 from chivepier.gateway.control.tests.fleet import play
 from chivepier.gateway.control.tests.fleet import wait_until
@@ -24,7 +24,7 @@
     play(test, tmp_path)
 
 
-def test_notice_reaches_entries_and_the_other_voters(tmp_path):
+def test_target_change_reaches_entries_and_other_voters(tmp_path):
     async def test(fleet):
         follower = await fleet.follow("e1")
         first, second, third = fleet.voters.values()
@@ -44,8 +44,9 @@
     play(test, tmp_path)
 
 
-def test_voters_keep_targets_that_speak_to_another_one(tmp_path):
-    # Voters forgot long-lived targets that speak to another voter only.
+def test_voters_keep_targets_that_announce_to_another_one(tmp_path):
+    # Guards against voters that expire long-lived targets which announce
+    # themselves to another voter only.
     async def test(fleet):
         first, second, _ = fleet.voters.values()
         now = tell_time()
@@ -60,9 +61,9 @@
     play(test, tmp_path)
 
 
-def test_what_an_entry_missed_comes_with_its_beats(tmp_path):
-    # A link that is cut for a moment loses what is pushed meanwhile. The
-    # entry says up to where it heard this voter, and gets the rest.
+def test_missed_changes_come_with_the_answer_to_a_beat(tmp_path):
+    # A connection that is cut for a moment loses pushed messages. The entry's
+    # next beat contains its revision, and the answer the missing changes.
     async def test(fleet):
         follower = await fleet.follow("e1")
         first = fleet.voters[fleet.seeds[0]]
@@ -85,7 +86,7 @@
     play(test, tmp_path)
 
 
-def test_voters_name_only_entries_that_are_ready_and_alive(tmp_path):
+def test_only_ready_and_alive_entries_are_returned(tmp_path):
     async def test(fleet):
         await fleet.write(1)
         staying = await fleet.follow("e1")
@@ -99,7 +100,7 @@
         leaving.following.leave()
         await wait_until(lambda: addresses() == ["e1:80"])
         await staying.__aexit__()
-        # nobody else is there: the last that was heard is better than none
+        # no entry is alive: the last known one is still returned
         await wait_until(lambda: voter.entries.count() == 2)
         assert addresses() == ["e1:80"]
 
@@ -123,7 +124,8 @@
 
 
 def test_each_entry_follows_the_voter_of_its_zone(tmp_path):
-    # Every voter told all entries of all changes, across all zones.
+    # Guards against every voter sending all changes to all entries across
+    # zones.
     async def test(fleet):
         zones = ("z0", "z0", "z1", "z2")
         followers = [
@@ -145,9 +147,9 @@
     play(test, tmp_path)
 
 
-def test_turns_of_copying_reach_entries_of_other_zones_by_name(tmp_path):
-    # Entries copy off a leaving target one after the other, by their names.
-    # A sum over a zone would hide whose turn it is.
+def test_copy_turns_reach_other_zones_per_entry(tmp_path):
+    # Entries copy off a leaving target one by one, in the order of their
+    # names. A sum over a zone would hide whose turn it is.
     async def test(fleet):
         one = await fleet.follow("e1", "z0")
         two = await fleet.follow("e2", "z1")
@@ -177,8 +179,8 @@
 
 
 def test_entry_follows_another_voter_when_its_own_is_lost(tmp_path):
-    # The voter of a zone ends: its entries follow another one, which tells
-    # them everything at once. What they run is counted once, not twice.
+    # When the voter of a zone stops, its entries follow another one, which
+    # sends them the full state. Their own load must not be counted twice.
     async def test(fleet):
         one = await fleet.follow("e1", "z0")
         two = await fleet.follow("e2", "z1")
@@ -194,9 +196,9 @@
     play(test, tmp_path)
 
 
-def test_entry_that_follows_another_voter_still_hears_of_news(tmp_path):
-    # A target speaks to the voter of one zone only; entries that follow the
-    # others keep it in use.
+def test_targets_of_other_zones_stay_alive_at_an_entry(tmp_path):
+    # A target announces itself to the voter of one zone only; entries that
+    # follow other voters must keep using it.
     async def test(fleet):
         one = await fleet.follow("e1", "z0")
         await wait_until(lambda: one.hub == fleet.seeds[0])
@@ -211,7 +213,7 @@
     play(test, tmp_path)
 
 
-def test_repeats_that_are_lent_are_known_to_entries_of_other_zones(tmp_path):
+def test_borrowed_retries_are_known_in_other_zones(tmp_path):
     async def test(fleet):
         one = await fleet.follow("e1", "z0")
         two = await fleet.follow("e2", "z1")
@@ -223,8 +225,9 @@
     play(test, tmp_path)
 
 
-def test_word_that_is_dropped_is_not_told_to_other_voters(tmp_path):
-    # A dropped word kept the earlier life of a target in use at other voters.
+def test_outdated_announcement_is_not_forwarded(tmp_path):
+    # Guards against forwarding an outdated announcement, which would keep an
+    # earlier incarnation of a target in use at other voters.
     async def test(fleet):
         first, second, _ = (v.registry for v in fleet.voters.values())
         now = tell_time()
@@ -243,9 +246,9 @@
     play(test, tmp_path)
 
 
-def test_word_of_an_earlier_life_does_not_show_that_a_target_lives(tmp_path):
-    # A target crashed and started again; what its earlier life had said came
-    # late, and kept the later one in use though that had fallen silent.
+def test_announcement_of_earlier_incarnation_is_no_sign_of_life(tmp_path):
+    # After a restart of a target, a delayed announcement of its earlier
+    # incarnation must not keep the silent new one in use.
     async def test(fleet):
         registry = fleet.voters[fleet.seeds[0]].registry
         now = tell_time()
@@ -260,8 +263,9 @@
     play(test, tmp_path)
 
 
-def test_word_that_can_not_be_taken_ends_no_link(tmp_path, monkeypatch):
-    # One target's record that can't be read ended the beats to each voter.
+def test_unreadable_target_does_not_end_beats(tmp_path, monkeypatch):
+    # Guards against one unreadable target record ending the beats to every
+    # voter.
     put = TargetTable.put
 
     def refuse_odd(table, target):
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_leaving.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""Tests of targets that tell one entry that they leave, over many."""
+"""Tests of spreading a target's leaving from one entry to all nodes."""
 
 import pytest
 
@@ -9,12 +9,12 @@
 
 
 def all_know(nodes, name: str = "i1") -> bool:
-    """Tell whether every entry, or voter, knows that a target leaves."""
+    """Tell whether all entries or voters know that a target is leaving."""
     return all(node.table.leaves(name) for node in nodes)
 
 
 @pytest.mark.parametrize("entries", (1, 7, 75))
-def test_all_entries_know_what_one_was_told(entries, tmp_path):
+def test_leaving_target_reaches_all_entries(entries, tmp_path):
     async def test(fleet):
         followers = await fleet.follow_many(entries)
         voters = list(fleet.voters.values())
@@ -25,7 +25,7 @@
         told.leavers.note(told.table.get("i1"), tell_time())
         await wait_until(lambda: all_know(followers))
         await wait_until(lambda: all_know(voters))
-        # what the target announces still says that it is ready
+        # the target's announcements still have the state READY
         late = make("i1", number=7, heard=tell_time())
         for voter in voters:
             voter.registry.announce(late)
@@ -36,7 +36,7 @@
     play(test, tmp_path)
 
 
-def test_voters_tell_it_at_once_and_not_with_beats_alone(tmp_path):
+def test_leaving_target_is_pushed_without_waiting_for_beats(tmp_path):
     async def test(fleet):
         followers = await fleet.follow_many(3)
         voter = next(iter(fleet.voters.values()))
@@ -52,8 +52,9 @@
     play(test, tmp_path)
 
 
-def test_each_voter_is_told_once_and_again_when_it_starts_anew(tmp_path):
-    # Each entry told each voter with each beat, of all targets that left.
+def test_leaving_target_is_sent_once_per_run_of_a_voter(tmp_path):
+    # Guards against repeating all leaving targets in every beat to every
+    # voter; a restarted voter needs them again.
     async def test(fleet):
         (told,) = await fleet.follow_many(1)
         address, voter = next(iter(fleet.voters.items()))
@@ -74,7 +75,7 @@
     play(test, tmp_path)
 
 
-def test_entry_that_was_cut_off_tells_it_later(tmp_path):
+def test_partitioned_entry_reports_leaving_target_later(tmp_path):
     async def test(fleet):
         followers = await fleet.follow_many(3)
         voter = next(iter(fleet.voters.values()))
@@ -92,7 +93,7 @@
     play(test, tmp_path)
 
 
-def test_voter_that_hears_of_a_target_later_takes_it_for_leaving(tmp_path):
+def test_leaving_applies_to_target_that_is_announced_later(tmp_path):
     async def test(fleet):
         follower = await fleet.follow("e1")
         await wait_until(lambda: follower.hub is not None)
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_loadledger.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_loadledger.py
@@ -1,4 +1,4 @@
-"""Tests of summing up what the entries of a zone run."""
+"""Tests of aggregating the loads of a zone's entries."""
 
 from hypothesis import given
 from hypothesis import settings
@@ -25,9 +25,9 @@
 )
 
 
-def test_records_of_many_entries_become_one_a_target():
-    # What 38 entries of a zone told of 31 targets crossed its border entry by
-    # entry: bytes between zones grew with the entries times the targets.
+def test_records_of_many_entries_become_one_per_target():
+    # Guards against forwarding the records of each entry, which makes traffic
+    # between zones grow with the number of entries times that of targets.
     ledger = LoadLedger("v1")
     for number in range(38):
         records = tuple(
@@ -42,7 +42,7 @@
     assert list(summed.queues.values()) == [QueueRecord("v1", "llm", 1, 76)]
 
 
-def test_entry_that_fell_silent_counts_no_more():
+def test_silent_entry_is_removed_from_sums():
     ledger = LoadLedger("v1")
     record = LoadRecord("e1", "i1", 1, 100, 0, 0)
     ledger.receive(LoadNotice((record,)), 0.0)
@@ -55,7 +55,7 @@
     assert sums.records[("v1", "i1")] == LoadRecord("v1", "i1", 0, 0, 0, 0)
 
 
-def test_entry_that_follows_another_voter_counts_no_more():
+def test_entry_following_another_voter_is_removed_from_sums():
     ledger = LoadLedger("v1")
     record = LoadRecord("e1", "i1", 1, 100, 0, 0)
     queue = QueueRecord("e1", "llm", 1, 2)
@@ -64,7 +64,7 @@
     assert not ledger.copy_reports() and not ledger.aggregate()
 
 
-def test_what_is_said_again_is_no_change():
+def test_repeated_report_is_no_change():
     ledger = LoadLedger("v1")
     record = LoadRecord("e1", "i1", 1, 100, 0, 0)
     ledger.receive(LoadNotice((record,)), 0.0)
@@ -80,7 +80,7 @@
 @given(
     strategies.lists(strategies.lists(RECORDS, max_size=4), max_size=8),
 )
-def test_changes_alone_lead_to_the_same_sums(rounds):
+def test_incremental_changes_match_full_sums(rounds):
     ledger, heard, heard_sums = LoadLedger("v1"), LoadState(), LoadState()
     for records in rounds:
         ledger.receive(LoadNotice(tuple(records)), 0.0)
@@ -92,7 +92,7 @@
 
 
 def prune(state: LoadState) -> dict:
-    """Return the records that count anything."""
+    """Return the records that are not all zero."""
     return {
         key: record
         for key, record in state.records.items()
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_membership.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of how a node learns whether it has a vote."""
+"""Tests of requesting votes and of removing voters."""
 
 import asyncio
 import json
@@ -19,13 +19,13 @@
 PEERS = ("10.0.0.2:7", "10.0.0.3:7", "10.0.0.4:7")
 
 
-class Asking:
-    """A node that has just started, and what its peers say of its vote."""
+class JoiningNode:
+    """A started node without a vote, and the answers of its peers."""
 
     node, cluster, leader = "n1", "c", ""
 
-    def __init__(self, says: dict[str, bool | None]):
-        self.says = says
+    def __init__(self, answers: dict[str, bool | None]):
+        self.answers = answers
         self._lines = tempfile.TemporaryFile()
         log = EventLog("n1", self._lines.fileno(), lambda: 0.0)
         peers = Peers(PEERS)
@@ -34,45 +34,46 @@
         )
 
     def leads(self) -> bool:
-        """Never lead."""
+        """Return that this node does not lead."""
         return False
 
     def votes(self) -> bool:
-        """Have no vote yet."""
+        """Return that this node has no vote."""
         return False
 
     async def request(self, peer, request, seconds) -> JoinAnswer:
-        """Answer as a peer does, or not at all."""
-        says = self.says[peer]
-        if says is None:
+        """Return the answer of a peer, or fail if it is silent."""
+        answers = self.answers[peer]
+        if answers is None:
             raise LinkError("silent", sent=True)
-        return JoinAnswer("c", says, ())
+        return JoinAnswer("c", answers, ())
 
-    def look(self, rounds: int) -> list[bool]:
-        """Ask in several rounds; return what was logged of the vote."""
+    def run_checks(self, rounds: int) -> list[bool]:
+        """Run several checks; return the logged vote states."""
         for _ in range(rounds):
             asyncio.run(self.membership._check_membership())
         self._lines.seek(0)
         return [json.loads(line)["votes"] for line in self._lines]
 
 
-def test_contradicting_words_of_peers_are_told_once():
-    # Two that had just started contradicted the third ten times a second.
-    asking = Asking(dict(zip(PEERS, (True, False, False))))
-    assert asking.look(5) == [False]
-    asking.says[PEERS[1]] = True
-    assert asking.look(5) == [False, True]
+def test_contradicting_answers_of_peers_are_logged_once():
+    # Peers that have just started contradict the others; guards against
+    # logging a change at every check.
+    joining = JoiningNode(dict(zip(PEERS, (True, False, False))))
+    assert joining.run_checks(5) == [False]
+    joining.answers[PEERS[1]] = True
+    assert joining.run_checks(5) == [False, True]
 
 
-def test_silent_peers_say_nothing_of_a_vote():
-    asking = Asking(dict.fromkeys(PEERS))
-    assert asking.look(2) == []
-    asking.says[PEERS[2]] = True
-    assert asking.look(2) == [True]
+def test_silent_peers_do_not_change_the_vote():
+    joining = JoiningNode(dict.fromkeys(PEERS))
+    assert joining.run_checks(2) == []
+    joining.answers[PEERS[2]] = True
+    assert joining.run_checks(2) == [True]
 
 
-class Leading:
-    """A leader of voters of which some fall silent."""
+class LeadingNode:
+    """A leader of several voters, some of which are silent."""
 
     node, cluster = "v0", "c"
 
@@ -87,22 +88,22 @@
         )
 
     def leads(self) -> bool:
-        """Lead all the time."""
+        """Return that this node leads."""
         return True
 
     def report(self) -> list[VoterState]:
-        """Tell which voters hold all."""
+        """Return the voters, with whether they have the whole log."""
         return [
             VoterState(v.node, v.address, 0, v.node not in self.silent)
             for v in self.voters
         ]
 
     async def remove(self, node: str) -> None:
-        """Take a vote."""
+        """Remove a voter."""
         self.voters = [v for v in self.voters if v.node != node]
 
-    def play(self, seconds: float) -> int:
-        """Look at the seats each second; return how many voters are left."""
+    def run_seconds(self, seconds: float) -> int:
+        """Check once per simulated second; return the number of voters."""
         for _ in range(int(seconds)):
             asyncio.run(self.membership._check_membership())
             self.clock.advance(1.0)
@@ -113,11 +114,10 @@
     ("voters", "silent", "left"),
     ((3, 1, 3), (4, 1, 3), (5, 1, 5), (5, 2, 3), (6, 1, 5), (7, 1, 7)),
 )
-def test_votes_are_taken_only_where_as_many_losses_are_borne(
-    voters, silent, left
-):
-    # Of five voters the one with a stalled disk lost its vote; then two disks
-    # were lost, and two of four elected no leader ever.
-    leading = Leading(voters)
-    leading.silent = {f"v{n}" for n in range(1, 1 + silent)}
-    assert leading.play(60.0) == left
+def test_removal_of_voters_keeps_fault_tolerance(voters, silent, left):
+    # Guards against lower fault tolerance: if one of five voters is removed
+    # for a stalled disk, and two disks are lost later, the remaining two of
+    # four can't elect a leader.
+    leader = LeadingNode(voters)
+    leader.silent = {f"v{n}" for n in range(1, 1 + silent)}
+    assert leader.run_seconds(60.0) == left
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_permitservice.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_permitservice.py
@@ -1,4 +1,4 @@
-"""Tests of how much all entries together send to a cold target."""
+"""Tests of the limit on requests to a cold target over all entries."""
 
 import asyncio
 import contextlib
@@ -25,12 +25,12 @@
 
 RATE = 10
 SERVICE = Service(name="s", connections=10, cold_rate=float(RATE))
-# Windows that are filled in a test of the bound.
+# Number of full windows in a test of the limit.
 WINDOWS = 3
 
 
 def make_cold(name: str = "cold") -> Target:
-    """Make a target that has just started."""
+    """Make a target that is cold for an hour."""
     now = tell_time()
     return Target(
         instance=name,
@@ -45,14 +45,14 @@
     )
 
 
-class Sends:
-    """Everything that entries would send, with the latest moment of each."""
+class SendRecorder:
+    """Granted sends, each with the time of asking and the permit's expiry."""
 
     def __init__(self) -> None:
         self.moments: list[tuple[float, float]] = []
 
     async def send(self, follower, target: Target) -> bool:
-        """Take leave for one send."""
+        """Take a permit for one send."""
         began = tell_time()
         permit = await follower.permits.take(SERVICE, target, Claim())
         if permit is None:
@@ -61,27 +61,29 @@
         return True
 
     def check_bound(self) -> None:
-        """Let no window hold more than a target bears.
+        """Check that no window contains more sends than the limit.
 
-        What was asked for within a window is bounded, and each permit
-        lapses; so no second of sends holds more.
+        Permits asked for within a window are limited, and each expires, so no
+        second contains more sends.
         """
         times = sorted(began for began, _ in self.moments)
         for first in range(len(times) - RATE):
             assert times[first + RATE] - times[first] > 1.0
 
 
-async def press(follower, target: Target, sends: Sends) -> None:
-    """Let one entry want to send again and again, until cancelled."""
+async def send_in_loop(follower, target: Target, sends: SendRecorder) -> None:
+    """Send from one entry in a loop until cancelled."""
     while True:
         await sends.send(follower, target)
         await asyncio.sleep(0.02)
 
 
 @contextlib.asynccontextmanager
-async def press_all(followers, target: Target, sends: Sends):
-    """Let all entries want to send again and again meanwhile."""
-    tasks = [asyncio.create_task(press(f, target, sends)) for f in followers]
+async def send_from_all(followers, target: Target, sends: SendRecorder):
+    """Send from all entries in a loop within the context."""
+    tasks = [
+        asyncio.create_task(send_in_loop(f, target, sends)) for f in followers
+    ]
     try:
         yield
     finally:
@@ -90,8 +92,8 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
-async def warm_up(sends: Sends, follower) -> None:
-    """Return once the leader permits anything."""
+async def wait_for_permits(sends: SendRecorder, follower) -> None:
+    """Wait until the leader grants permits."""
     spare = make_cold("spare")
     while not await sends.send(follower, spare):
         await asyncio.sleep(0.05)
@@ -102,36 +104,36 @@
     ("entries", "round_seconds"),
     ((1, 0.0), (7, 0.0), (75, 0.0), (1, 0.02), (7, 0.02)),
 )
-def test_all_entries_together_keep_to_the_bound(
+def test_all_entries_together_keep_the_cold_limit(
     tmp_path, entries, round_seconds
 ):
-    # Each entry saw a target with room that had just started, and all sent
-    # there at once: it crashed at a rate well above what it bears cold.
-    # Leave lapsed before slow entries could use it: nobody sent anything.
+    # Guards against all entries sending to a new target at once, which
+    # overloads it while cold, and against permits that expire before slow
+    # entries can use them.
     async def test(fleet):
         followers = await fleet.follow_many(entries)
-        sends, target = Sends(), make_cold()
-        await warm_up(sends, followers[0])
-        async with press_all(followers, target, sends):
-            # entries that get no leave, however slow they are, fail this
+        sends, target = SendRecorder(), make_cold()
+        await wait_for_permits(sends, followers[0])
+        async with send_from_all(followers, target, sends):
+            # times out if slow entries get no usable permits
             await wait_until(lambda: len(sends.moments) >= WINDOWS * RATE)
         sends.check_bound()
 
     play(test, tmp_path, find_delay=lambda now: round_seconds)
 
 
-def test_entry_without_a_leader_sends_nothing_to_cold_targets(tmp_path):
-    # Cut off, an entry knows nothing of what the others send.
+def test_no_permits_for_cold_targets_without_a_leader(tmp_path):
+    # Without a leader, an entry does not know what the others send.
     async def test(fleet):
         follower = await fleet.follow("e1")
         await wait_until(lambda: follower.hub is not None)
-        sends = Sends()
-        await warm_up(sends, follower)
+        sends = SendRecorder()
+        await wait_for_permits(sends, follower)
         for address in fleet.seeds[1:]:
             await fleet.stop(address)
         names = map(str, itertools.count())
-        # another target each time: it is for the leader that it ends, whose
-        # lease may last for a moment more, and not for the bound
+        # another target each time, so that the loop ends with the leader's
+        # lease and not with the limit of one target
         while await sends.send(follower, make_cold(next(names))):
             await asyncio.sleep(0.05)
         assert not await sends.send(follower, make_cold(next(names)))
@@ -139,14 +141,14 @@
     play(test, tmp_path)
 
 
-def test_new_leader_waits_until_permits_of_the_last_have_lapsed(tmp_path):
-    # The leader had given away all that a target bears, and was lost; the
-    # next one knew nothing of that and gave it away again at once.
+def test_new_leader_waits_until_earlier_permits_have_expired(tmp_path):
+    # Guards against a new leader that grants a target's limit again, as it
+    # does not know the permits granted by its predecessor.
     async def test(fleet):
         followers = await fleet.follow_many(3)
-        sends, target = Sends(), make_cold()
-        await warm_up(sends, followers[0])
-        async with press_all(followers, target, sends):
+        sends, target = SendRecorder(), make_cold()
+        await wait_for_permits(sends, followers[0])
+        async with send_from_all(followers, target, sends):
             await wait_until(lambda: len(sends.moments) >= RATE)
             leader = fleet.find_leader()
             address = next(a for a, v in fleet.voters.items() if v is leader)
@@ -158,19 +160,19 @@
     play(test, tmp_path)
 
 
-class Lead:
-    """A voter that leads since a moment."""
+class FakeLeaderClient:
+    """A leader client of a voter that leads since a given time."""
 
     def __init__(self, since: float | None):
         self._since = since
         self.replica = self
 
     def leads_since(self) -> float | None:
-        """Return when it began to lead."""
+        """Return the start time of the leadership."""
         return self._since
 
     async def request(self, request, seconds, handle):
-        """Answer here."""
+        """Answer locally."""
         return await handle(request)
 
 
@@ -183,13 +185,11 @@
         (10.0 - MOST_WINDOW_SECONDS, True),
     ),
 )
-def test_leader_permits_nothing_while_the_last_ones_permits_count(
-    since, granted
-):
+def test_leader_grants_nothing_while_earlier_permits_are_valid(since, granted):
     clock = ManualClock()
     clock.advance(10.0)
     log = EventLog("v1", os.open(os.devnull, os.O_WRONLY))
-    hub = PermitService(Lead(since), clock, log, random.Random(1))
+    hub = PermitService(FakeLeaderClient(since), clock, log, random.Random(1))
     answer = asyncio.run(hub.handle(PermitRequest("i1", 5)))
     assert answer.granted is granted
 
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_words.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_pushes.py
@@ -1,4 +1,4 @@
-"""Tests of how soon all entries know what one of them has learned."""
+"""Tests of the delay until all entries know what one of them observed."""
 
 import asyncio
 
@@ -13,38 +13,39 @@
 from chivepier.standins.loopclock import tell_time
 
 
-def note_leaving(told: Follower, name: str) -> None:
-    """Let a target's answer to an entry say that it leaves."""
+def simulate_leaving(told: Follower, name: str) -> None:
+    """Simulate a response with which a target announces its leaving."""
     told.leavers.note(told.table.get(name), tell_time())
 
 
-def note_limit(told: Follower, name: str) -> None:
-    """Let a target's answer to an entry name a limit."""
+def simulate_limit(told: Follower, name: str) -> None:
+    """Simulate a response with which a target sets a rate limit."""
     known = told.limits.find(name, 0)
     told.limits.note(name, 0, known, RateLimit(2.5), tell_time())
 
 
-def note_loss(told: Follower, name: str) -> None:
-    """Let a target end under a request of an entry."""
-    told.end_under(f"d-{name}", name)
+def report_crash(told: Follower, name: str) -> None:
+    """Simulate the end of a target during a request of an entry."""
+    told.simulate_crash(f"d-{name}", name)
 
 
 @pytest.mark.parametrize(
     ("note", "knows"),
     (
-        (note_leaving, lambda node, name: node.table.leaves(name)),
-        (note_limit, lambda node, name: node.limits.find_rate(name, 0)),
+        (simulate_leaving, lambda node, name: node.table.leaves(name)),
+        (simulate_limit, lambda node, name: node.limits.find_rate(name, 0)),
         (
-            note_loss,
+            report_crash,
             lambda node, name: node.quarantine.ledger.knows(f"d-{name}"),
         ),
     ),
     ids=("leaving", "limit", "loss"),
 )
-def test_entries_are_told_at_once_and_not_with_beats_alone(
+def test_observations_are_pushed_without_waiting_for_beats(
     tmp_path, note, knows
 ):
-    # For a beat, or two, others sent what one entry knew must not be sent.
+    # Guards against a delay of one or two beats, in which other entries send
+    # requests that one entry already knows must not be sent.
     async def test(fleet):
         told, other = await fleet.follow_many(2)
         voter = fleet.voters[told.hub]
@@ -53,7 +54,7 @@
             voter.registry.announce(make(name, heard=tell_time()))
             for follower in (told, other):
                 await wait_until(lambda f=follower, n=name: f.table.get(n))
-            # at another moment between two beats each time
+            # at a different time between two beats in each round
             await asyncio.sleep(0.07 * number)
             began = tell_time()
             note(told, name)
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_late.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_stalls.py
@@ -1,7 +1,7 @@
-"""Tests of a control plane whose processes stand still again and again.
+"""Tests of a control plane whose processes stall repeatedly.
 
-Leases, beats, leave and patience are used up while a process stands still.
-What it does later must be late by some of that, and never undone for good.
+Leases, beats, permits and timeouts expire during a stall. This may delay
+operations, but every one must succeed in the end.
 """
 
 import asyncio
@@ -13,30 +13,31 @@
 from chivepier.gateway.control.tests.fleet import wait_until
 from chivepier.gateway.control.tests.stalls import Stalls
 from chivepier.gateway.control.tests.test_permitservice import make_cold
-from chivepier.gateway.control.tests.test_permitservice import Sends
+from chivepier.gateway.control.tests.test_permitservice import SendRecorder
 from chivepier.gateway.limits import RateLimit
 from chivepier.gateway.targets.tests.test_targettable import make
 from chivepier.standins.loopclock import tell_time
 
 ENTRIES = 7
-LATE = pytest.mark.parametrize("seconds", (0.1, 0.5, 2.0))
+WITH_STALLS = pytest.mark.parametrize("seconds", (0.1, 0.5, 2.0))
 
 
-def play_late(test, tmp_path, seconds: float) -> None:
-    """Let all nodes stand still for a third of the time, for so long at most.
+def play_with_stalls(test, tmp_path, seconds: float) -> None:
+    """Run a test with all nodes stalled for a third of the time.
 
-    :param test: is given the fleet and its entries, each with a voter
+    :param test: called with the fleet and its entries
+    :param seconds: maximum duration of one stall
     """
 
     async def follow(fleet: Fleet) -> None:
         await test(fleet, await fleet.follow_many(ENTRIES))
 
-    stalls = Stalls(seed=1, gap=seconds, most=seconds)
+    stalls = Stalls(seed=1, mean_gap=seconds, max_seconds=seconds)
     play(follow, tmp_path, find_delay=stalls.find_delay)
 
 
 async def announce(fleet: Fleet, followers, name: str) -> None:
-    """Let a target speak to a voter until all entries know it."""
+    """Announce a target to a voter until all entries know it."""
 
     def is_known() -> bool:
         fleet.voters[fleet.seeds[0]].registry.announce(
@@ -47,8 +48,8 @@
     await wait_until(is_known)
 
 
-@LATE
-def test_late_entries_get_each_configuration(tmp_path, seconds):
+@WITH_STALLS
+def test_stalling_entries_get_each_configuration(tmp_path, seconds):
     async def test(fleet, followers):
         for version in (1, 2, 3):
             await fleet.write(version)
@@ -59,13 +60,11 @@
                 )
             )
 
-    play_late(test, tmp_path, seconds)
+    play_with_stalls(test, tmp_path, seconds)
 
 
-@LATE
-def test_late_entries_know_targets_and_what_others_send_there(
-    tmp_path, seconds
-):
+@WITH_STALLS
+def test_stalling_entries_know_targets_and_loads_of_others(tmp_path, seconds):
     async def test(fleet, followers):
         await announce(fleet, followers, "i1")
         for follower in followers:
@@ -75,21 +74,21 @@
             lambda: all(f.tokens("i1") == everything for f in followers)
         )
 
-    play_late(test, tmp_path, seconds)
+    play_with_stalls(test, tmp_path, seconds)
 
 
-@LATE
-def test_late_entries_are_all_named_to_each_other(tmp_path, seconds):
+@WITH_STALLS
+def test_stalling_entries_are_all_counted(tmp_path, seconds):
     async def test(fleet, followers):
         await wait_until(
             lambda: all(f.state.entries == ENTRIES for f in followers)
         )
 
-    play_late(test, tmp_path, seconds)
+    play_with_stalls(test, tmp_path, seconds)
 
 
-@LATE
-def test_late_entries_know_what_one_of_them_was_told(tmp_path, seconds):
+@WITH_STALLS
+def test_stalling_entries_share_leaving_targets_and_limits(tmp_path, seconds):
     async def test(fleet, followers):
         await announce(fleet, followers, "i1")
         await announce(fleet, followers, "i2")
@@ -103,16 +102,16 @@
                 lambda f=follower: f.limits.find_rate("i2", 0) == 2.5
             )
 
-    play_late(test, tmp_path, seconds)
+    play_with_stalls(test, tmp_path, seconds)
 
 
-@LATE
-def test_late_entries_get_leave_for_cold_targets(tmp_path, seconds):
+@WITH_STALLS
+def test_stalling_entries_get_permits_for_cold_targets(tmp_path, seconds):
     async def test(fleet, followers):
         target = make_cold()
         for follower in followers:
-            sends = Sends()
+            sends = SendRecorder()
             while not await sends.send(follower, target):
                 await asyncio.sleep(0.02)
 
-    play_late(test, tmp_path, seconds)
+    play_with_stalls(test, tmp_path, seconds)
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_voters.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_voters.py
@@ -1,4 +1,4 @@
-"""Tests of voters on loopback: founding, losses, restarts, replacement."""
+"""Tests of voters: bootstrap, loss of nodes, restarts and replacement."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 from chivepier.gateway.targets.tests.test_targettable import make
 
 
-def test_seeds_found_one_cluster_without_an_order(tmp_path):
+def test_seeds_bootstrap_one_cluster_independently(tmp_path):
     async def test(fleet):
         await fleet.write(5, "a")
         clusters = {v.replica.cluster for v in fleet.voters.values()}
@@ -20,9 +20,9 @@
     play(test, tmp_path)
 
 
-def test_highest_version_counts_and_older_ones_change_nothing(tmp_path):
-    # An operator's order that was overtaken, or sent again after its
-    # acknowledgement was lost, is acknowledged; what is in force stays.
+def test_older_versions_do_not_replace_the_highest(tmp_path):
+    # A write with an older version, or a retry after a lost acknowledgement,
+    # is acknowledged without changing the stored configuration.
     async def test(fleet):
         await fleet.write(5, "first")
         await fleet.write(9, "new")
@@ -35,7 +35,7 @@
     play(test, tmp_path)
 
 
-def test_minority_takes_nothing_and_tells_nothing(tmp_path):
+def test_minority_rejects_writes_and_confirmed_reads(tmp_path):
     async def test(fleet):
         await fleet.write(1)
         for address in fleet.seeds[1:]:
@@ -43,20 +43,20 @@
         store = fleet.voters[fleet.seeds[0]].store
         assert not await store.write(2, b"2 ")
         while await store.read() is not None:
-            # its lease as the leader may last for a moment more
+            # its leader lease may not have expired yet
             pass
         assert await store.read() is None
 
     play(test, tmp_path)
 
 
-def test_what_was_acknowledged_outlives_a_restart_of_all(tmp_path):
+def test_acknowledged_write_survives_restart_of_all_voters(tmp_path):
     async def test(fleet):
         await fleet.write(3, "kept")
         for address in fleet.seeds:
             await fleet.stop(address)
         for address in fleet.seeds:
-            # the flag of the first start may still be set
+            # the flag of the first start must have no effect later
             await fleet.start(address, found=True)
         for address in fleet.seeds:
             assert await fleet.read(address) == b"3 kept"
@@ -64,12 +64,13 @@
     play(test, tmp_path)
 
 
-def test_restarted_voter_tells_what_was_committed_without_a_leader(tmp_path):
-    # After a kill of all, callers were refused until a leader was elected.
+def test_restarted_voter_serves_committed_state_without_leader(tmp_path):
+    # Guards against rejecting callers after a restart of all processes until
+    # a leader is elected.
     async def test(fleet):
         await fleet.write(3, "kept")
         first = fleet.voters[fleet.seeds[0]]
-        # a follower learns with the next heartbeat that it is committed
+        # a follower learns of the commit with the next heartbeat
         await wait_until(lambda: first.store.find_committed() is not None)
         first.registry.announce(make("i1", heard=0.0))
         known = fleet.find_folder(fleet.seeds[0]) / "known"
@@ -89,7 +90,7 @@
 
 
 @pytest.mark.parametrize("damage", [b"", b"\x00" * 40, b"\xff\xff"])
-def test_damaged_note_of_what_is_known_is_left_alone(tmp_path, damage):
+def test_damaged_state_cache_is_ignored(tmp_path, damage):
     async def test(fleet):
         await fleet.write(3, "kept")
         address = fleet.seeds[0]
@@ -101,8 +102,9 @@
     play(test, tmp_path)
 
 
-def test_wiped_voter_comes_back_with_a_new_identity_and_a_vote(tmp_path):
-    # With its old name, a voter that lost its disk could vote twice in a term.
+def test_wiped_voter_gets_new_identity_and_vote(tmp_path):
+    # With its old identity, a voter that lost its disk could vote twice in one
+    # term.
     async def test(fleet):
         await fleet.write(3, "kept")
         address = fleet.seeds[0]
@@ -120,7 +122,7 @@
     play(test, tmp_path)
 
 
-def test_machine_at_a_new_address_replaces_one_that_is_gone(tmp_path):
+def test_voter_at_new_address_replaces_lost_voter(tmp_path):
     async def test(fleet):
         await fleet.write(3, "kept")
         gone = fleet.seeds[0]
@@ -140,9 +142,9 @@
     play(test, tmp_path)
 
 
-def test_crash_before_the_identity_is_kept_does_not_end_the_voter(tmp_path):
-    # The process ended at each start: its folder had an identity but no
-    # log, which counts as a log that was lost. The log is made first.
+def test_voter_starts_after_crash_before_saving_identity(tmp_path):
+    # Guards against a voter that can't start after such a crash: an identity
+    # without a log counts as a lost log, so the log is created first.
     async def test(fleet):
         await fleet.write(3)
         address = fleet.make_address()
--- a/packages/gateway/src/chivepier/gateway/messages/tests/test_forms.py
+++ b/packages/gateway/src/chivepier/gateway/messages/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""Messages of entries and voters on the short way and the general one."""
+"""Tests of the fast and the general codec for control plane messages."""
 
 import typing
 
@@ -18,7 +18,7 @@
 
 
 def make_sample(kind: typing.Any) -> typing.Any:
-    """Build a value of a type, two of it in a tuple."""
+    """Make a sample value of a type; tuples contain two items."""
     if kind in SAMPLES:
         return SAMPLES[kind]
     if attrs.has(kind):
@@ -27,9 +27,9 @@
 
 
 @pytest.mark.parametrize("cls", CLASSES, ids=lambda cls: cls.__name__)
-def test_bytes_and_message_are_the_same(cls):
-    # What tells loads is made of tuples of records: on the general way a
-    # voter with 38 entries spent 0.07 of a core on taking them apart.
+def test_fast_and_general_codec_agree(cls):
+    # Load messages contain tuples of records, which the general codec decodes
+    # too slowly: a voter with 38 entries spent 7 % of a core on it.
     assert flatform.find_form(cls) is not None
     value = make_sample(cls)
     plain = cbor2.dumps((TAGS[cls], codec.CONVERTER.unstructure(value)))
@@ -37,8 +37,8 @@
     assert decode(plain) == value
 
 
-def test_record_that_does_not_fit_is_read_by_the_general_converter():
-    # A whole number stands where a fraction belongs, within a record.
+def test_integer_in_float_field_is_read_by_general_codec():
+    # The record contains an integer in a field of type float.
     record = ["i1", "s", "10.0.0.1:80", "z", "ready", 1, 4, 0, 1, 0]
     plain = cbor2.dumps((TAGS[messages.TargetNotice], [[record]]))
     (target,) = decode(plain).records
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("record", [5, None, [], ["e1"], {}])
-def test_record_of_another_form_is_refused(record):
+def test_malformed_record_is_rejected(record):
     plain = cbor2.dumps((TAGS[messages.LoadNotice], [[record], [], True]))
     with pytest.raises((TypeError, ValueError)):
         decode(plain)
