--- a/packages/gateway/src/chivepier/gateway/control/limithub.py
+++ b/packages/gateway/src/chivepier/gateway/control/limitrelay.py
@@ -1,4 +1,4 @@
-"""Limits that targets named to entries."""
+"""Relay for the rate limits that targets set in answers to entries."""
 
 import collections.abc
 
@@ -16,12 +16,12 @@
 from chivepier.wire import prepare
 
 
-class LimitHub:
-    """Passes on what entries were told, and keeps it for those to come.
+class LimitRelay:
+    """Stores limits received from entries and forwards them to followers.
 
-    :param channels: returns where the followers of this voter are reached
-    :param clock: monotonic time
-    :param log: what this process believes
+    :param channels: returns the channels to the followers of this voter
+    :param clock: monotonic clock
+    :param log: receives new limits
     """
 
     def __init__(
@@ -35,23 +35,23 @@
         self._clock = clock
         self._log = log
 
-    def take(self, records: tuple[LimitRecord, ...]) -> None:
-        """Take what an entry was told, and tell the followers at once.
+    def receive(self, records: tuple[LimitRecord, ...]) -> None:
+        """Store limits received from an entry and push new ones to followers.
 
-        :param records: of its beat
+        :param records: limits contained in the entry's beat
         """
         now = self._clock.monotonic()
         words = unpack_limits(records, now)
-        news = [word for word in words if self.board.put(word)]
-        if not news:
+        changed = [word for word in words if self.board.put(word)]
+        if not changed:
             return
-        for word in news:
-            self._log_word(word, now)
-        message = prepare(LimitNotice(pack_limits(news, now)))
+        for word in changed:
+            self._log_limit(word, now)
+        message = prepare(LimitNotice(pack_limits(changed, now)))
         for channel in self._channels():
             channel.send_prepared(message)
 
-    def _log_word(self, word: VersionedLimit, now: float) -> None:
+    def _log_limit(self, word: VersionedLimit, now: float) -> None:
         self._log.info(
             "limit_known",
             target=word.instance,
@@ -62,13 +62,13 @@
             age_ms=round(1000 * (now - word.seen)),
         )
 
-    def find_named(
+    def find_active(
         self, targets: collections.abc.Iterable[Target]
     ) -> list[tuple[VersionedLimit, float]]:
-        """Return the limits that targets name now.
+        """Return the rate limits in force for the given targets.
 
-        :param targets: that are known
-        :returns: what is believed, and for how many seconds it has been
+        :param targets: targets to look up
+        :returns: pairs of a limit and its age in seconds
         """
         now = self._clock.monotonic()
         words = [self.board.find(t.instance, t.born) for t in targets]
@@ -81,12 +81,13 @@
     def find_missing(
         self, beat: EntryBeat, epoch: str
     ) -> tuple[LimitRecord, ...]:
-        """Return what an entry lacks.
+        """Return the limits that an entry has not received yet.
 
-        :param beat: says what it has
-        :param epoch: of this voter; one that knows another has nothing
+        :param beat: the entry's beat, with the revision that it has
+        :param epoch: this voter's epoch; an entry with another epoch is sent
+            all limits
         """
-        revision = beat.limits_held if beat.epoch == epoch else 0
+        revision = beat.limits_revision if beat.epoch == epoch else 0
         if revision >= self.board.revision:
             return ()
         words = self.board.find_newer(revision)
--- a/packages/gateway/src/chivepier/gateway/control/operatorapi.py
+++ b/packages/gateway/src/chivepier/gateway/control/operatorapi.py
@@ -1,4 +1,4 @@
-"""The product's own interface for operators, at each voter."""
+"""HTTP API for operators, served by each voter."""
 
 import asyncio
 
@@ -15,37 +15,37 @@
 from chivepier.types import render_headers
 
 ORDER_PATH = "/v1/operator/evacuations/{zone}"
-# Characters of a name that an error repeats.
-MOST_NAME = 200
+# Length to which a name is truncated in error messages.
+MAX_NAME_LENGTH = 200
 
 
 @attrs.frozen
 class OperatorApi:
-    """What the ``chivepier`` command asks of a voter.
+    """The HTTP endpoints used by the ``chivepier`` command.
 
-    :param voter: decides
+    :param voter: the voter that answers requests
     """
 
     voter: Voter
 
-    def add_to(self, routes: web.UrlDispatcher) -> None:
-        """Serve it.
+    def register_routes(self, routes: web.UrlDispatcher) -> None:
+        """Register the endpoints.
 
-        :param routes: of the server that operators reach
+        :param routes: route table of the operators' HTTP server
         """
-        routes.add_get("/healthz", self._answer_alive)
-        routes.add_get("/v1/operator/status", self._answer_status)
+        routes.add_get("/healthz", self._get_health)
+        routes.add_get("/v1/operator/status", self._get_status)
         routes.add_post(ORDER_PATH, self._evacuate)
         routes.add_delete(ORDER_PATH, self._readmit)
 
-    async def _answer_alive(self, request: web.Request) -> web.Response:
+    async def _get_health(self, request: web.Request) -> web.Response:
         return web.json_response({})
 
-    async def _answer_status(self, request: web.Request) -> web.Response:
+    async def _get_status(self, request: web.Request) -> web.Response:
         voter = self.voter
-        held = voter.store.held()
-        beats = voter.entries.beats()
-        plain = {
+        config = voter.store.find_committed()
+        beats = voter.entries.list_beats()
+        status = {
             "voters": [
                 {"node": v.node, "address": v.address}
                 for v in voter.replica.voters
@@ -63,8 +63,8 @@
                 for beat in beats
             ],
             "targets": [_describe(target) for target in voter.table],
-            "version": held.version if held else 0,
-            # the oldest that an entry still acts on
+            "version": config.version if config else 0,
+            # The oldest configuration version still applied by an entry.
             "in_force": min((beat.version for beat in beats), default=0),
             "evacuations": [
                 {
@@ -82,22 +82,22 @@
                     "source": word.source,
                     "seconds": round(age, 1),
                 }
-                for word, age in voter.limits.find_named(voter.table)
+                for word, age in voter.limits.find_active(voter.table)
             ],
         }
-        return web.json_response(plain)
+        return web.json_response(status)
 
     async def _evacuate(self, request: web.Request) -> web.Response:
-        return await self._order(request, True)
+        return await self._handle_order(request, True)
 
     async def _readmit(self, request: web.Request) -> web.Response:
-        return await self._order(request, False)
+        return await self._handle_order(request, False)
 
-    async def _order(
+    async def _handle_order(
         self, request: web.Request, evacuated: bool
     ) -> web.Response:
         zone = request.match_info["zone"]
-        failure = await give_order(self.voter, request, zone, evacuated)
+        failure = await submit_order(self.voter, request, zone, evacuated)
         if failure is None:
             return web.json_response({"zone": zone, "evacuated": evacuated})
         return web.json_response(
@@ -107,29 +107,29 @@
         )
 
 
-async def give_order(
+async def submit_order(
     voter: Voter, request: web.Request, zone: str, evacuated: bool
 ) -> Failure | None:
-    """Carry out an operator's order about an availability zone.
+    """Commit an operator's order to evacuate or readmit a zone.
 
-    :param voter: that it came to
-    :param request: that brought it; its sender may leave meanwhile
-    :param zone: the zone's name
-    :param evacuated: whether nothing new may be sent there
-    :returns: why it is not in force, or nothing
+    :param voter: the voter that received the order
+    :param request: the HTTP request; its sender may disconnect meanwhile
+    :param zone: name of the availability zone
+    :param evacuated: whether no new requests may be sent to the zone
+    :returns: the reason why the order is not committed; ``None`` if it is
     """
     if not voter.knows_zone(zone):
-        text = f"no availability zone {zone[:MOST_NAME]!r}"
+        text = f"unknown availability zone {zone[:MAX_NAME_LENGTH]!r}"
         return Failure(ErrorKind.BAD_REQUEST, text)
     order = voter.orders.prepare(zone, evacuated)
-    work = voter.orders.carry_out(order, lambda: _waits(request))
+    work = voter.orders.commit(order, lambda: _is_connected(request))
     if await asyncio.shield(work):
         return None
-    text = "no leader took it in time; it may be in force"
+    text = "no leader accepted the order in time; it may be in force"
     return Failure(ErrorKind.NO_QUORUM, text)
 
 
-def _waits(request: web.Request) -> bool:
+def _is_connected(request: web.Request) -> bool:
     transport = request.transport
     return transport is not None and not transport.is_closing()
 
--- a/packages/gateway/src/chivepier/gateway/control/permithub.py
+++ b/packages/gateway/src/chivepier/gateway/control/permitservice.py
@@ -1,8 +1,8 @@
-"""Leave for entries to send to targets that take few."""
+"""Grants of permits to send requests to rate-limited targets."""
 
 import random
 
-from chivepier.gateway.control.leaderlink import LeaderLink
+from chivepier.gateway.control.leaderclient import LeaderClient
 from chivepier.gateway.eventlog import EventLog
 from chivepier.gateway.messages import PermitAnswer
 from chivepier.gateway.messages import PermitRequest
@@ -16,24 +16,23 @@
 from chivepier.wire import LinkError
 
 
-class PermitHub:
-    """Takes entries' questions to the leader, and answers them there.
+class PermitService:
+    """Forwards permit requests to the leader, and answers them as leader.
 
-    Of the voters only the leader permits anything, while it holds its
-    lease: no other one can lead meanwhile. One that has just begun to lead
-    knows nothing of what the one before it permitted, and waits until that
-    has lapsed. Without this, two voters could each give away all that a
-    target bears within the same second.
+    Only the leader grants permits, while it holds its lease, which excludes
+    any other leader. A new leader does not know the permits of its predecessor
+    and waits until they have expired. Otherwise two voters could each grant a
+    target's full rate within the same second.
 
-    :param leader: the way to the leader
-    :param clock: monotonic time
-    :param log: what this process believes
-    :param rng: spreads the claims of many entries
+    :param leader: client for requests to the leader
+    :param clock: monotonic clock
+    :param log: receives requests that no leader answered
+    :param rng: randomizes the order among the claims of many entries
     """
 
     def __init__(
         self,
-        leader: LeaderLink,
+        leader: LeaderClient,
         clock: Clock,
         log: EventLog,
         rng: random.Random,
@@ -45,46 +44,48 @@
         self._turns = FairScheduler(rng)
 
     async def handle(self, request: PermitRequest) -> PermitAnswer:
-        """Answer an entry, or another voter as the leader.
+        """Answer a permit request, forwarding it to the leader if necessary.
 
-        :param request: for one send to one target
+        :param request: request for one send to one target
         """
         try:
-            return await self._leader.ask(
-                request, min(request.lapse, MAX_PERMIT_SECONDS), self._grant
+            return await self._leader.request(
+                request,
+                min(request.permit_seconds, MAX_PERMIT_SECONDS),
+                self._grant,
             )
         except (LinkError, TimeoutError) as error:
-            # an answer that comes later is of no use to who asked
+            # No retry: a later answer is of no use to the entry.
             self._log.info(
                 "permit_unasked", target=request.instance, error=str(error)
             )
-            return PermitAnswer(False, led=False)
+            return PermitAnswer(False, has_leader=False)
 
     async def _grant(self, request: PermitRequest) -> PermitAnswer:
         since = self._leader.replica.leads_since()
         if since is None:
-            return PermitAnswer(False, led=False)
+            return PermitAnswer(False, has_leader=False)
         now = self._clock.monotonic()
-        if request.most and now - since < MAX_WINDOW_SECONDS:
+        if request.cold_limit and now - since < MAX_WINDOW_SECONDS:
             return PermitAnswer(False)
-        turn = self._find_turn(request, now, since)
+        turn = self._claim_turn(request, now, since)
         if not turn.granted:
             return PermitAnswer(False, turn.wait)
-        if request.most and not self._ledger.acquire(
+        if request.cold_limit and not self._ledger.acquire(
             request.instance,
-            request.most,
+            request.cold_limit,
             now,
-            min(request.lapse, MAX_PERMIT_SECONDS),
+            min(request.permit_seconds, MAX_PERMIT_SECONDS),
         ):
             return PermitAnswer(False)
         return PermitAnswer(True, turn.wait)
 
-    def _find_turn(
+    def _claim_turn(
         self, request: PermitRequest, now: float, since: float
     ) -> SendDecision:
         if request.rate < 0:
             return SendDecision(True, 0.0)
-        claim = Claim(request.team, request.urgency, request.patience)
+        claim = Claim(request.team, request.urgency, request.max_wait)
         return self._turns.acquire(
             request.instance, request.rate, claim, now, since
         )
--- a/packages/gateway/src/chivepier/gateway/control/registry.py
+++ b/packages/gateway/src/chivepier/gateway/control/registry.py
@@ -1,4 +1,4 @@
-"""Targets as they announce themselves to voters."""
+"""Registry of the targets that announce themselves to voters."""
 
 import collections.abc
 import secrets
@@ -16,32 +16,32 @@
 from chivepier.types import Clock
 from chivepier.wire import Links
 
-# Seconds after a zone was taken back in which all that its targets say goes
-# to the entries: three to four of their announcements.
-AWAITED_SECONDS = 5.0
-# Seconds by which a time that was sent as an age may be off: what a message
-# takes between two voters, also where one of them is busy.
-AGE_ERROR = 0.2
+# Seconds after a zone's readmission in which every announcement of its targets
+# is pushed to the entries: three to four announcements of each.
+READMISSION_WINDOW_SECONDS = 5.0
+# Error of a time that is sent as an age: the latency of a message between two
+# voters, also where one of them is busy.
+AGE_TOLERANCE_SECONDS = 0.2
 
 
 class Registry:
-    """Takes announcements and tells entries and the other voters.
-
-    What is new goes out at once; what an entry missed it gets with its next
-    beat, by a revision that counts what this voter heard itself.
-
-    :param me: this voter's peer address
-    :param table: the targets
-    :param entries: who is told
-    :param links: to the other voters
-    :param peers: their addresses
-    :param clock: monotonic time
-    :param log: what this process believes
+    """Receives announcements and forwards them to entries and other voters.
+
+    Changes are pushed at once. An entry gets missed ones in the answer to its
+    next beat, selected by a revision number that is local to this voter.
+
+    :param own_address: this voter's peer address
+    :param table: all known targets
+    :param entries: the entries that receive changes
+    :param links: connections to the other voters
+    :param peers: addresses of the other voters
+    :param clock: monotonic clock
+    :param log: receives changes of targets
     """
 
     def __init__(
         self,
-        me: str,
+        own_address: str,
         table: TargetTable,
         entries: EntryDirectory,
         links: Links,
@@ -51,85 +51,92 @@
     ):
         self.epoch = secrets.token_hex(4)
         self.revision = 0
-        self._me = me
+        self._own_address = own_address
         self._table = table
         self._entries = entries
         self._links = links
         self._peers = peers
         self._clock = clock
         self._log = log
-        self._revisions: dict[str, int] = {}
-        self._news: dict[str, int] = {}
-        self._unshared: set[str] = set()
+        self._liveness_revisions: dict[str, int] = {}
+        self._content_revisions: dict[str, int] = {}
+        self._unsynced: set[str] = set()
 
     def announce(self, target: Target) -> None:
-        """Take a target's own announcement.
+        """Merge an announcement received from the target itself.
 
-        :param target: what it says; heard just now
+        :param target: its announced state, with the current time as ``heard``
         """
-        if not self._put(target):
+        if not self._merge_target(target):
             return
-        self._unshared.add(target.instance)
-        if self._news.get(target.instance) == self.revision:
-            self._tell(target)
+        self._unsynced.add(target.instance)
+        if self._content_revisions.get(target.instance) == self.revision:
+            self._broadcast(target)
 
-    def note_leaving(self, instance: str, born: int) -> None:
-        """Take an entry's word that a target told it that it leaves.
+    def mark_leaving(self, instance: str, born: int) -> None:
+        """Mark a target as leaving, as reported by an entry.
 
-        :param instance: the target's name
-        :param born: start of the life that leaves
+        :param instance: name of the target
+        :param born: start time of the leaving incarnation
         """
         now = self._clock.monotonic()
         if not self._table.mark_leaving(instance, born, now):
             return
         known = self._table.get(instance)
         if known is None or known.born != born:
-            # what it announces later is taken for what it is
+            # The table applies it to a later announcement.
             return
         self.revision += 1
-        _note_last(self._revisions, instance, self.revision)
-        _note_last(self._news, instance, self.revision)
-        self._unshared.add(instance)
-        self._tell(known)
+        _record_revision(self._liveness_revisions, instance, self.revision)
+        _record_revision(self._content_revisions, instance, self.revision)
+        self._unsynced.add(instance)
+        self._broadcast(known)
 
-    def _put(self, target: Target) -> bool:
-        """Merge a target's word.
+    def _merge_target(self, target: Target) -> bool:
+        """Merge an announcement and assign a revision to what is new.
 
-        :returns: whether it shows that the target lives. An older word, or
-            one of an earlier life, does not; nor does one that comes back
-            from another voter, a moment off as ages travel, not times
+        :returns: whether the announcement shows that the target is alive.
+            Older ones, those of an earlier incarnation and those echoed by
+            another voter do not; an echo may differ by the error of its age.
         """
         known = self._table.get(target.instance)
         heard = known.heard if known is not None else None
-        news = self._table.put(target) or self._is_awaited(target)
+        changed = self._table.put(target) or self._is_recently_readmitted(
+            target
+        )
         known = self._table.get(target.instance)
-        later = heard is None or known.heard > heard + AGE_ERROR
-        if not news and not (later and known.born == target.born):
+        is_newer = heard is None or known.heard > heard + AGE_TOLERANCE_SECONDS
+        if not changed and not (is_newer and known.born == target.born):
             return False
         self.revision += 1
-        _note_last(self._revisions, target.instance, self.revision)
-        if news:
-            _note_last(self._news, target.instance, self.revision)
+        _record_revision(
+            self._liveness_revisions, target.instance, self.revision
+        )
+        if changed:
+            _record_revision(
+                self._content_revisions, target.instance, self.revision
+            )
         return True
 
-    def _is_awaited(self, target: Target) -> bool:
-        """Tell whether entries wait for this word of a target.
+    def _is_recently_readmitted(self, target: Target) -> bool:
+        """Tell whether an announcement follows its zone's readmission.
 
-        Those of a zone that was taken back count as cold until they speak.
-        Voters and entries learn of that moment some tenths of a second
-        apart, so the next words all go to the entries.
+        Targets of a readmitted zone count as cold until they announce
+        themselves again. Voters and entries learn of the readmission some
+        tenths of a second apart, so several announcements are pushed.
         """
         at = self._table.zones.find_readmission(target.zone)
         return (
-            at is not None and 0 <= target.announced_at - at < AWAITED_SECONDS
+            at is not None
+            and 0 <= target.announced_at - at < READMISSION_WINDOW_SECONDS
         )
 
-    def leave(self, instance: str, born: int | None = None) -> None:
-        """Take a target's word that it ends.
+    def deregister(self, instance: str, born: int | None = None) -> None:
+        """Mark a target as gone on its own request.
 
-        :param instance: that ends; nothing is kept of one that is not known
-        :param born: which of its lives ends; the one that is known where the
-            target does not tell
+        :param instance: name of the target; ignored if it is unknown
+        :param born: start time of the ending incarnation; by default the
+            known one
         """
         known = self._table.get(instance)
         if known is None or born is not None and born < known.born:
@@ -148,7 +155,7 @@
             )
         )
 
-    def _tell(self, target: Target) -> None:
+    def _broadcast(self, target: Target) -> None:
         self._log.info(
             "target_known",
             target=target.instance,
@@ -159,74 +166,77 @@
         )
         record = pack_target(target, self._clock.monotonic())
         notice = TargetNotice((record,))
-        for channel in self._entries.channels():
+        for channel in self._entries.list_channels():
             channel.send(notice)
         for peer in self._peers.all:
-            if peer != self._me:
+            if peer != self._own_address:
                 self._links.post(peer, notice)
 
-    def share(self) -> None:
-        """Tell the other voters which targets were heard here lately.
+    def sync_peers(self) -> None:
+        """Send the targets heard since the last call to the other voters.
 
-        They hear of a target when it is new, and would forget one that
-        speaks to this voter only: after a kill of all processes they would
-        tell entries of none of the long-lived ones.
+        Only changes are pushed at once. Without this, other voters would
+        expire a long-lived target that announces itself to this voter only,
+        and could not name it to entries after a restart of all processes.
         """
         now = self._clock.monotonic()
-        targets = [self._table.get(name) for name in sorted(self._unshared)]
-        self._unshared.clear()
+        targets = [self._table.get(name) for name in sorted(self._unsynced)]
+        self._unsynced.clear()
         records = [pack_target(t, now) for t in targets if t is not None]
         notice = TargetNotice(tuple(records))
         for peer in self._peers.all:
-            if records and peer != self._me:
+            if records and peer != self._own_address:
                 self._links.post(peer, notice)
 
     def merge(self, notice: TargetNotice) -> None:
-        """Take what another voter heard."""
+        """Merge targets received from another voter."""
         now = self._clock.monotonic()
         for record in notice.records:
-            self._put(unpack_target(record, now))
+            self._merge_target(unpack_target(record, now))
 
-    def records_since(
+    def find_changed_records(
         self, epoch: str, revision: int
     ) -> tuple[TargetRecord, ...]:
-        """Return what an entry lacks.
+        """Return the records that changed since an entry's revision.
 
-        :param epoch: of this voter, as the entry knows it
-        :param revision: up to which it has everything
-        :returns: all records when the epoch is another one
+        :param epoch: this voter's epoch as known to the entry
+        :param revision: last revision that the entry has received
+        :returns: changed records; all records if the epochs differ
         """
         now = self._clock.monotonic()
         if epoch != self.epoch:
             return tuple(pack_target(t, now) for t in self._table)
-        names = _find_newer(self._news, revision)
+        names = _find_newer(self._content_revisions, revision)
         targets = [self._table.get(name) for name in names]
         return tuple(pack_target(t, now) for t in targets if t is not None)
 
-    def heard_since(self, epoch: str, revision: int) -> tuple[str, ...]:
-        """Return which targets an entry should know to live.
+    def find_live_names(self, epoch: str, revision: int) -> tuple[str, ...]:
+        """Return the targets heard since an entry's revision.
 
-        Names alone, as nothing else is new: what a voter tells grows as the
-        targets times the entries.
+        Names suffice for unchanged targets, and limit the traffic, which
+        grows with the number of targets times the number of entries.
 
-        :param epoch: of this voter, as the entry knows it
-        :param revision: up to which it has everything
+        :param epoch: this voter's epoch as known to the entry
+        :param revision: last revision that the entry has received
+        :returns: names of the targets; empty if the epochs differ
         """
         if epoch != self.epoch:
             return ()
-        return tuple(_find_newer(self._revisions, revision))
+        return tuple(_find_newer(self._liveness_revisions, revision))
 
-    def forget(self) -> None:
-        """Drop targets that have long been silent."""
+    def expire(self) -> None:
+        """Remove targets that have expired."""
         self._table.expire(self._clock.monotonic())
-        for instance in list(self._revisions):
+        for instance in list(self._liveness_revisions):
             if self._table.get(instance) is None:
-                del self._revisions[instance]
-                self._news.pop(instance, None)
+                del self._liveness_revisions[instance]
+                self._content_revisions.pop(instance, None)
 
 
-def _note_last(revisions: dict[str, int], name: str, revision: int) -> None:
-    """Note a revision, and keep the dictionary in the order of these."""
+def _record_revision(
+    revisions: dict[str, int], name: str, revision: int
+) -> None:
+    """Set a name's revision, keeping the dictionary sorted by revision."""
     revisions.pop(name, None)
     revisions[name] = revision
 
@@ -234,7 +244,7 @@
 def _find_newer(
     revisions: dict[str, int], revision: int
 ) -> collections.abc.Iterator[str]:
-    """Return the names that are newer than a revision, newest first."""
+    """Yield the names with a later revision, latest first."""
     for name in reversed(revisions):
         if revisions[name] <= revision:
             return
--- a/packages/gateway/src/chivepier/gateway/control/zonestore.py
+++ b/packages/gateway/src/chivepier/gateway/control/zonestore.py
@@ -1,10 +1,10 @@
-"""Operators' orders about availability zones, in the replicated log."""
+"""Store of the zones' evacuation orders in the replicated log."""
 
 import collections.abc
 
 import cbor2
 
-from chivepier.gateway.control.leaderlink import LeaderLink
+from chivepier.gateway.control.leaderclient import LeaderClient
 from chivepier.gateway.control.preparedorder import PreparedOrder
 from chivepier.gateway.eventlog import EventLog
 from chivepier.gateway.messages import ZoneAnswer
@@ -21,99 +21,98 @@
 from chivepier.types import Clock
 from chivepier.wire import LinkError
 
-KIND = "zone"
-# Seconds for which a node looks for a leader on behalf of an operator, who
-# turns to another node after one second.
-SEARCH_SECONDS = 0.9
-# Seconds between two looks for a leader; a vote takes some tens of ms.
-SEARCH_PAUSE = 0.05
-# Seconds after which the end of a connection that had come with an order has
-# been noticed: some rounds of the event loop.
-SENDER_SECONDS = 0.02
+DOCUMENT_KIND = "zone"
+# Seconds for which a node tries to reach a leader for an operator; the client
+# tries another node after one second.
+LEADER_SEARCH_SECONDS = 0.9
+# Seconds between two attempts; an election takes some tens of milliseconds.
+LEADER_RETRY_SECONDS = 0.05
+# Seconds in which the event loop notices that the connection of an order has
+# been closed: some iterations of the loop.
+DISCONNECT_NOTICE_SECONDS = 0.02
 
 
 class ZoneStore:
-    """Carries out orders about zones, and follows those of others.
-
-    Each zone's last order is a document of the log: as durable as the
-    configuration, in the same snapshots, and told to a voter that starts
-    anew. An order has no version of its own, and is sent again when its
-    acknowledgement is lost; what is wanted already is acknowledged without
-    another change.
-
-    A repeat that was held up must not undo the order that was given since:
-    a voter that stood still wakes with it, as if it had just come. So it is
-    carried out only if the zone's last order is still the one that the
-    voter knew, and while its sender waits. Ending an evacuation that never
-    was is written down, too: it makes an older repeat of its beginning fail.
-
-    :param leader: the way to the leader
-    :param zones: is given what was committed
-    :param clock: monotonic time
-    :param log: what this process believes
+    """Commits evacuation orders and applies committed ones to the zones.
+
+    The last order of each zone is a document in the replicated log, with the
+    same durability and snapshots as the configuration. An order has no version
+    and is retried when its acknowledgement is lost; an order that is already
+    in force is acknowledged without a change.
+
+    A delayed retry must not undo a later order: after a pause of the process,
+    a voter handles it as if it had just arrived. It is therefore committed
+    only if the zone's last order is still the one that the voter knew and if
+    its sender still waits. A readmission of a zone that is not evacuated is
+    committed too, so that a delayed retry of an earlier evacuation fails.
+
+    :param leader: client for requests to the leader
+    :param zones: receives committed orders
+    :param clock: monotonic clock
+    :param log: receives committed orders and failed requests
     """
 
     def __init__(
-        self, leader: LeaderLink, zones: Zones, clock: Clock, log: EventLog
+        self, leader: LeaderClient, zones: Zones, clock: Clock, log: EventLog
     ):
         self._leader = leader
         self._zones = zones
         self._clock = clock
         self._log = log
         self._presumed: tuple[str, ...] = ()
-        self._tail = (0, 0)
+        self._log_end = (0, 0)
 
     @property
     def _machine(self):
         return self._leader.replica.machine
 
     def presume(self, entries: collections.abc.Iterable[Entry]) -> None:
-        """Keep to the orders of the log's end until their outcome is known.
+        """Treat evacuations in the local log as in force for the time being.
 
-        A voter that starts anew does not know which entries are committed
-        until a leader tells it. What was acknowledged just before is among
-        them, and its targets are told to entries at once.
+        After a restart, a voter does not know which log entries are committed
+        until it hears from a leader. They include orders that were
+        acknowledged just before, while targets are sent to entries at once.
 
-        :param entries: all that the log holds
+        :param entries: all entries of the local log
         """
         last, presumed = None, set()
         for last in entries:
-            for zone, evacuated in _find_orders(last):
+            for zone, evacuated in _decode_orders(last):
                 if evacuated:
                     presumed.add(zone)
         if last is None:
             return
-        self._tail = (last.term, last.index)
+        self._log_end = (last.term, last.index)
         self._presumed = tuple(sorted(presumed))
         for zone in self._presumed:
             self._zones.presume(zone, float("inf"))
 
     def find_presumed(self) -> tuple[str, ...]:
-        """Return the zones whose orders have no known outcome yet."""
-        term, index = self._tail
+        """Return the zones with an evacuation whose outcome is unknown."""
+        term, index = self._log_end
         machine = self._machine
-        # an entry of a later term, or the log's end, is applied: whatever
-        # was committed before is applied, too
+        # Once an entry of a later term, or the end of the log, is applied, all
+        # entries committed before it are applied, too.
         if machine.term > term or machine.index >= index:
             for zone in self._presumed:
                 self._zones.withdraw(zone)
             self._presumed = ()
         return self._presumed
 
-    def follow(self) -> bool:
-        """Take what was committed since.
+    def apply_committed(self) -> bool:
+        """Apply newly committed orders to the zones.
 
-        :returns: whether there was any order among it
+        :returns: whether there were any
         """
-        news = False
+        changed = False
         now = self._clock.monotonic()
         for (kind, zone), document in list(self._machine.documents.items()):
-            if kind != KIND:
+            if kind != DOCUMENT_KIND:
                 continue
             evacuated = bool(cbor2.loads(document.spec))
             order = ZoneOrder(zone, document.version, evacuated, now)
             if self._zones.put(order):
-                news = True
+                changed = True
                 self._log.info(
                     "evacuation_stored",
                     zone=zone,
@@ -121,52 +120,58 @@
                     index=document.version,
                 )
         self.find_presumed()
-        return news
+        return changed
 
-    async def give(self, zone: str, evacuated: bool) -> bool:
-        """Carry out an order; see :meth:`carry_out`."""
+    async def submit(self, zone: str, evacuated: bool) -> bool:
+        """Prepare an order and commit it; see :meth:`commit`."""
         order = self.prepare(zone, evacuated)
-        return await self.carry_out(order, lambda: True)
+        return await self.commit(order, lambda: True)
 
     def prepare(self, zone: str, evacuated: bool) -> PreparedOrder:
-        """Note what is known of a zone when an order about it comes.
+        """Record the last known order of a zone when a new one arrives.
 
-        :param zone: its name
-        :param evacuated: whether nothing new may be sent there
+        :param zone: name of the availability zone
+        :param evacuated: whether no new requests may be sent to the zone
+        :returns: the order to pass to :meth:`commit`
         """
         known = self._zones.find_order(zone)
         now = self._clock.monotonic()
         return PreparedOrder(zone, evacuated, known.index if known else 0, now)
 
-    async def carry_out(
-        self, order: PreparedOrder, waits: collections.abc.Callable[[], bool]
+    async def commit(
+        self,
+        order: PreparedOrder,
+        is_waiting: collections.abc.Callable[[], bool],
     ) -> bool:
         """Write an order to the log.
 
-        :param order: as it came
-        :param waits: whether its sender still waits for the answer
-        :returns: whether it is in force for good; if not, it may be
+        :param order: the prepared order
+        :param is_waiting: tells whether the sender still waits for the answer
+        :returns: ``True`` if the order is committed; ``False`` if its outcome
+            is unknown
         """
-        await self._clock.sleep(SENDER_SECONDS)
-        if not waits():
+        await self._clock.sleep(DISCONNECT_NOTICE_SECONDS)
+        if not is_waiting():
             self._log.warn("order_dropped", zone=order.zone)
             return False
-        deadline = order.arrived + SEARCH_SECONDS
-        base = order.base
-        while (left := deadline - self._clock.monotonic()) > 0:
+        deadline = order.received_at + LEADER_SEARCH_SECONDS
+        base = order.base_index
+        while (remaining := deadline - self._clock.monotonic()) > 0:
             request = ZoneRequest(order.zone, order.evacuated, base)
             try:
-                answer = await self._leader.ask(request, left, self.handle)
+                answer = await self._leader.request(
+                    request, remaining, self.handle
+                )
             except (LinkError, TimeoutError) as error:
                 self._log.warn("order_lost", zone=order.zone, error=str(error))
-                await self._clock.sleep(SEARCH_PAUSE)
+                await self._clock.sleep(LEADER_RETRY_SECONDS)
                 continue
             if answer.accepted:
                 return True
             if not answer.index:
-                await self._clock.sleep(SEARCH_PAUSE)
-            elif waits():
-                # it was this node that knew too little
+                await self._clock.sleep(LEADER_RETRY_SECONDS)
+            elif is_waiting():
+                # This node had not yet applied the zone's last order.
                 base = answer.index
             else:
                 break
@@ -174,50 +179,52 @@
         return False
 
     async def handle(self, request: ZoneRequest) -> ZoneAnswer:
-        """Write another voter's order, as the leader.
+        """Commit an order as the leader.
 
-        :param request: the order
-        :returns: the answer; unsure when this node does not lead
+        :param request: the order, sent by any voter
+        :returns: the answer; not accepted if this node does not lead
         """
         try:
-            await self._leader.catch_up()
-            document = self._machine.documents.get((KIND, request.zone))
+            await self._leader.wait_for_commits()
+            document = self._machine.documents.get(
+                (DOCUMENT_KIND, request.zone)
+            )
             if document is not None:
                 if bool(cbor2.loads(document.spec)) is request.evacuated:
                     return ZoneAnswer(True)
-                if document.version != request.base:
+                if document.version != request.base_index:
                     return ZoneAnswer(False, document.version)
-            elif request.base:
+            elif request.base_index:
                 return ZoneAnswer(False)
             answer = await self._propose(request)
         except (NotLeaderError, LostLeadError) as error:
             self._log.warn("order_unsure", zone=request.zone, why=repr(error))
             return ZoneAnswer(False)
         if answer.error:
-            found = self._machine.documents.get((KIND, request.zone))
+            found = self._machine.documents.get((DOCUMENT_KIND, request.zone))
             return ZoneAnswer(False, found.version if found else 0)
         return ZoneAnswer(True)
 
     async def _propose(self, request: ZoneRequest):
         spec = cbor2.dumps(request.evacuated)
-        # one change for each order that it follows: a repeat of this one
-        # gets the same answer
+        # The name makes retries idempotent: an order with the same base is the
+        # same change and gets the stored answer.
         verb = "evacuate" if request.evacuated else "readmit"
-        name = f"{verb}-{request.zone}-{request.base}"
-        edit = Edit(KIND, request.zone, request.base, spec)
+        name = f"{verb}-{request.zone}-{request.base_index}"
+        edit = Edit(DOCUMENT_KIND, request.zone, request.base_index, spec)
         command = ChangeCommand(name, "", (edit,))
         return await self._leader.replica.propose(encode(command))
 
 
-def _find_orders(
+def _decode_orders(
     entry: Entry,
 ) -> collections.abc.Iterator[tuple[str, bool]]:
-    # most entries hold whole configurations: these are not read
-    if KIND.encode() not in entry.command:
+    # Skips decoding of configurations, which make up most log entries.
+    if DOCUMENT_KIND.encode() not in entry.command:
         return
     command = decode(entry.command)
     if not isinstance(command, ChangeCommand):
         return
     for edit in command.edits:
-        if edit.kind == KIND and edit.spec is not None:
+        if edit.kind == DOCUMENT_KIND and edit.spec is not None:
             yield edit.name, bool(cbor2.loads(edit.spec))
--- a/packages/gateway/src/chivepier/gateway/permits/permitclient.py
+++ b/packages/gateway/src/chivepier/gateway/permits/permitclient.py
@@ -65,7 +65,8 @@
             key, self._clock.monotonic(), self.permit_seconds
         )
         work = self._await_answer(
-            pending, attrs.evolve(request, lapse=pending.permit_seconds)
+            pending,
+            attrs.evolve(request, permit_seconds=pending.permit_seconds),
         )
         task = asyncio.create_task(work)
         self._tasks.add(task)
@@ -86,7 +87,7 @@
         if answer is None:
             self.last_unanswered_at = now
             self._adapt_permit_seconds(pending.permit_seconds)
-            return PermitAnswer(False, led=False)
+            return PermitAnswer(False, has_leader=False)
         self._adapt_permit_seconds(now - pending.asked_at)
         if answer.granted and not pending.is_awaited:
             self._store_unused(pending, answer.wait)
--- a/packages/gateway/src/chivepier/gateway/permits/sendlimiter.py
+++ b/packages/gateway/src/chivepier/gateway/permits/sendlimiter.py
@@ -215,7 +215,7 @@
             if self._leaderless:
                 return self._claim_leaderless(target, claim, rate, cold)
             return SendDecision(False, REFUSAL_BACKOFF_SECONDS)
-        if not answer.led:
+        if not answer.has_leader:
             return self._claim_leaderless(target, claim, rate, cold)
         self._leaderless, self._entry_count = False, self._count_entries()
         return self._read_answer(answer, rate, pending.permit_seconds)
--- a/packages/gateway/src/chivepier/gateway/permits/tests/test_permitclient.py
+++ b/packages/gateway/src/chivepier/gateway/permits/tests/test_permitclient.py
@@ -32,8 +32,8 @@
     async def _answer(self, request: PermitRequest) -> PermitAnswer | None:
         await self.clock.sleep(self.seconds / 2)
         now = self.clock.monotonic()
-        granted = self.limiter.acquire("i1", MOST, now, request.lapse)
-        self.permit_lifetimes.append(request.lapse)
+        granted = self.limiter.acquire("i1", MOST, now, request.permit_seconds)
+        self.permit_lifetimes.append(request.permit_seconds)
         await self.clock.sleep(self.seconds / 2)
         return PermitAnswer(granted)
 
--- a/packages/gateway/src/chivepier/gateway/targets/loadtracker.py
+++ b/packages/gateway/src/chivepier/gateway/targets/loadtracker.py
@@ -39,7 +39,7 @@
             record.runs,
             record.tokens,
             record.reading,
-            record.turn,
+            record.copy_ms,
             record.copying,
             record.receiving,
             record.avoiding,
