--- a/packages/gateway/src/chivepier/gateway/control/configstore.py
+++ b/packages/gateway/src/chivepier/gateway/control/configstore.py
@@ -135,7 +135,7 @@
             case ConfigRequest():
                 return self._pack(self.find_committed())
             case other:
-                raise RefusedError(f"unexpected request: {other!r}")
+                raise RefusedError(f"not for the store: {other!r}")
 
     async def _read_as_leader(self) -> ConfigAnswer:
         try:
--- a/packages/gateway/src/chivepier/gateway/control/operatorapi.py
+++ b/packages/gateway/src/chivepier/gateway/control/operatorapi.py
@@ -119,13 +119,13 @@
     :returns: the reason why the order is not committed; ``None`` if it is
     """
     if not voter.knows_zone(zone):
-        text = f"unknown availability zone {zone[:MAX_NAME_LENGTH]!r}"
+        text = f"no availability zone {zone[:MAX_NAME_LENGTH]!r}"
         return Failure(ErrorKind.BAD_REQUEST, text)
     order = voter.orders.prepare(zone, evacuated)
     work = voter.orders.commit(order, lambda: _is_connected(request))
     if await asyncio.shield(work):
         return None
-    text = "no leader accepted the order in time; it may be in force"
+    text = "no leader took it in time; it may be in force"
     return Failure(ErrorKind.NO_QUORUM, text)
 
 
--- a/packages/gateway/src/chivepier/gateway/serving/bodymemory.py
+++ b/packages/gateway/src/chivepier/gateway/serving/bodymemory.py
@@ -46,6 +46,6 @@
 
     def _reserve(self, count: int) -> None:
         if self.used_bytes + count > self.max_bytes:
-            text = "the buffers for request bodies of this instance are full"
+            text = "too many bodies are being sent to this instance"
             raise RequestError.of(ErrorKind.OVERLOADED, text)
         self.used_bytes += count
--- a/packages/gateway/src/chivepier/gateway/serving/crashguard.py
+++ b/packages/gateway/src/chivepier/gateway/serving/crashguard.py
@@ -46,7 +46,7 @@
             return
         hold = self._quarantine.find_hold(plan.digest)
         self._quarantine.note_refused(plan.request.id, plan.team or "", hold)
-        text = "several targets crashed while they ran this request"
+        text = "targets ended as they ran this request"
         if runs:
             raise RequestError.of(ErrorKind.TARGET_FAILED, text, Ran.UNKNOWN)
         left = hold.until - self._clock.monotonic()
--- a/packages/gateway/src/chivepier/gateway/serving/dispatcher.py
+++ b/packages/gateway/src/chivepier/gateway/serving/dispatcher.py
@@ -130,7 +130,7 @@
                 continue
             if not retry_counted and not self.take_retry(plan):
                 raise self._refusals.make_error(
-                    plan, runs, "the retry budget is exhausted"
+                    plan, runs, "no repeats are left"
                 )
             retry_counted = False
             self._log_placement(plan, place)
@@ -178,7 +178,7 @@
         try:
             return await self._placing.find_assignment(plan, tried)
         except NoCapacityError:
-            text = "no target has capacity"
+            text = "no target has room"
             raise self._refusals.make_error(plan, runs, text) from None
         except RateLimitedError as error:
             raise self._refusals.make_over_limit_error(
--- a/packages/gateway/src/chivepier/gateway/serving/planner.py
+++ b/packages/gateway/src/chivepier/gateway/serving/planner.py
@@ -35,13 +35,13 @@
         """
         index = self._state.index
         if index is None:
-            text = "this instance has not received a configuration yet"
+            text = "this instance knows no configuration yet"
             raise RequestError.of(ErrorKind.NOT_READY, text)
         route = index.find_route(request.host, request.path)
         if route is None:
             raise RequestError.of(
                 ErrorKind.NOT_FOUND,
-                "no route matches the host and path of the request",
+                "no such route",
             )
         team = self._find_team(index, route, request)
         urgency = route.urgency
@@ -65,7 +65,7 @@
             return None
         team = index.find_team(request.key or "")
         if team is None:
-            raise RequestError.of(ErrorKind.UNAUTHORIZED, "unknown API key")
+            raise RequestError.of(ErrorKind.UNAUTHORIZED, "unknown key")
         return team
 
     def _pick_service(self, index: RouteIndex, route: Route) -> Service:
--- a/packages/gateway/src/chivepier/gateway/serving/rejectionpolicy.py
+++ b/packages/gateway/src/chivepier/gateway/serving/rejectionpolicy.py
@@ -56,10 +56,10 @@
         if left >= MIN_TIME_LEFT_SECONDS:
             return
         if runs:
-            text = "the deadline has passed; a target may have run the request"
+            text = "the time is over; a target may have run it"
             raise RequestError.of(ErrorKind.TIMEOUT, text, Ran.UNKNOWN)
         raise self._make_no_target_error(
-            "no target could accept the request before its deadline", 0.5
+            "no target could take it in time", 0.5
         )
 
     def check_rounds(
@@ -76,11 +76,9 @@
         if refused and rounds < MAX_ROUNDS:
             return
         if not runs and self._is_barred_by_zone_rules(plan):
-            text = (
-                "the zones of its targets are evacuated or not allowed for it"
-            )
+            text = "its targets' zones are evacuated, or not allowed for it"
             raise RequestError.of(ErrorKind.NO_TARGET, text)
-        raise self.make_error(plan, runs, "no target has capacity")
+        raise self.make_error(plan, runs, "no target has room")
 
     def _is_barred_by_zone_rules(self, plan: Plan) -> bool:
         """Return whether zone rules alone exclude all ready targets."""
@@ -115,9 +113,7 @@
         :param entries: number of entries that share the rate
         """
         if runs:
-            return self.make_error(
-                plan, runs, "the rate limits of all targets are used up"
-            )
+            return self.make_error(plan, runs, "targets in need take no more")
         now = self._clock.monotonic()
         back = self._retry_after.schedule(
             plan.service.name, rate, entries, now
@@ -125,7 +121,7 @@
         self._log_rejection(
             "over_limit", plan, back, rate=rate, entries=entries
         )
-        text = f"its targets accept no more than {rate:g} requests per second"
+        text = f"its targets are in need and take {rate:g} requests a second"
         return self._make_overload_error(text, back)
 
     def make_backoff_error(
@@ -137,7 +133,7 @@
         :param runs: number of targets that may have run it
         :param seconds: time until the first of them accepts requests
         """
-        text = "all its targets asked this instance to back off"
+        text = "its targets have asked this instance to wait"
         if runs:
             return self.make_error(plan, runs, text)
         back = self._retry_after.add_jitter(seconds)
--- a/packages/gateway/src/chivepier/gateway/serving/relay.py
+++ b/packages/gateway/src/chivepier/gateway/serving/relay.py
@@ -330,7 +330,7 @@
         return StartedAnswer(run.target, answer, b"", run)
 
     def _break_off(self, run: LiveRun) -> None:
-        text = "the target failed, and the stream can't be resumed"
+        text = "the target broke off, and the stream can't go on"
         self._dispatcher.log.warn(
             "stream_cut",
             id=run.request.id,
--- a/packages/gateway/src/chivepier/gateway/serving/requesthandler.py
+++ b/packages/gateway/src/chivepier/gateway/serving/requesthandler.py
@@ -55,7 +55,7 @@
         outcome, plan = "cancelled", None
         try:
             if self._state.stopping:
-                text = "this instance is shutting down"
+                text = "this instance is about to end"
                 raise RequestError.of(ErrorKind.DRAINING, text)
             if self._state.index is None:
                 await self._state.changed.wait(FIRST_CONFIG_TIMEOUT_SECONDS)
@@ -95,7 +95,7 @@
             return
         left = ends_at - self._dispatcher.clock.monotonic()
         if self._dispatcher.runs.estimate_seconds(plan) > left:
-            text = "this instance shuts down before the generation would end"
+            text = "this instance ends before the generation would"
             raise RequestError.of(ErrorKind.DRAINING, text)
 
     async def _answer(self, plan: Plan, caller: CallerConnection) -> None:
