--- a/tests/adapter/exchange.py
+++ b/tests/adapter/exchange.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from adapter.targets import Targets
+from adapter.httptargetclient import HttpTargetClient
 from chivepier.gateway.serving import SendOptions
 import rawtarget
 
@@ -73,7 +73,9 @@
     """Run a test against a target that follows a script."""
 
     async def work():
-        async with rawtarget.RawTarget(script) as raw, Targets() as targets:
+        async with rawtarget.RawTarget(
+            script
+        ) as raw, HttpTargetClient() as targets:
             async with asyncio.timeout(10):
                 await test(raw, targets)
 
--- a/tests/adapter/test_announcement.py
+++ b/tests/adapter/test_announcement.py
@@ -9,7 +9,7 @@
 
 from adapter.announcement import AnnouncementError
 from adapter.announcement import decode_announcement
-from adapter.announcement import decode_farewell
+from adapter.announcement import decode_deregistration
 from chivepier.gateway.targets import Target
 from chivepier.gateway.targets import TargetState
 
@@ -144,9 +144,9 @@
 
 
 def test_farewell_names_a_life_or_none():
-    assert decode_farewell(b"") is None
-    assert decode_farewell(b"{}") is None
-    assert decode_farewell(b'{"born": 17}') == 17
+    assert decode_deregistration(b"") is None
+    assert decode_deregistration(b"{}") is None
+    assert decode_deregistration(b'{"born": 17}') == 17
     for body in (b"[", b"[]", b'{"born": true}'):
         with pytest.raises(AnnouncementError):
-            decode_farewell(body)
+            decode_deregistration(body)
--- a/tests/adapter/test_callers.py
+++ b/tests/adapter/test_callers.py
@@ -11,7 +11,7 @@
 
 from adapter.callers import CallerServer
 from adapter.configcodec import decode_config
-from adapter.targets import Targets
+from adapter.httptargetclient import HttpTargetClient
 from chivepier.gateway.config import RouteIndex
 from chivepier.gateway.entry import Entry
 from chivepier.gateway.eventlog import EventLog
@@ -61,7 +61,7 @@
     async def __aenter__(self) -> "Door":
         enter = self._stack.enter_async_context
         await enter(self.raw)
-        targets = await enter(Targets())
+        targets = await enter(HttpTargetClient())
         clock = SystemClock()
         settings = EntrySettings(
             name="e1",
--- a/tests/adapter/test_program.py
+++ b/tests/adapter/test_program.py
@@ -32,7 +32,10 @@
     ),
 }
 LOAD = {
-    "entry": "import adapter.callers, adapter.targets, adapter.configcodec",
+    "entry": (
+        "import adapter.callers, adapter.httptargetclient, "
+        "adapter.configcodec"
+    ),
     "voter": "import adapter.control",
 }
 
--- a/tests/adapter/test_settings.py
+++ b/tests/adapter/test_settings.py
@@ -32,7 +32,7 @@
 
 
 def test_settings_of_an_entry():
-    entry = make().make_entry()
+    entry = make().make_entry_settings()
     assert (entry.name, entry.zone) == ("front-1", "z1")
     assert entry.address == "10.1.0.19:8740"
     # the seeds are where operators ask; peers listen at the first free port
@@ -42,31 +42,31 @@
 
 
 def test_bodies_take_a_part_of_the_memory_at_most():
-    assert make().make_entry().body_bytes == USUAL_BODY_BYTES
-    entry = make(**{"limits.memory-mb": "128"}).make_entry()
+    assert make().make_entry_settings().body_bytes == USUAL_BODY_BYTES
+    entry = make(**{"limits.memory-mb": "128"}).make_entry_settings()
     assert entry.body_bytes == 16 << 20
 
 
 def test_digests_of_requests_are_checked():
     # A head of two digits would keep out every request of a hundred.
-    entry = make().make_entry(("0a1b0a1b0a1b",), ("ffffffff",))
+    entry = make().make_entry_settings(("0a1b0a1b0a1b",), ("ffffffff",))
     assert entry.orders.allows("0a1b0a1b0a1b22")
     assert entry.orders.blocks("ffffffff")
     for wrong in ("", "0a", "0A1B0A1B", "0a1b0a1b-"):
         with pytest.raises(SettingsError, match="keep_out is not the head"):
-            make().make_entry((), (wrong,))
+            make().make_entry_settings((), (wrong,))
 
 
 def test_settings_of_a_voter():
-    voter = make().make_voter()
+    voter = make().make_voter_settings()
     assert voter.address == "10.1.0.19:7200"
     assert str(voter.folder) == "/data/x" and voter.found
-    assert not make(bootstrap="false").make_voter().found
+    assert not make(bootstrap="false").make_voter_settings().found
 
 
 def test_addresses_are_kept_no_longer_than_is_allowed():
-    assert make().address_seconds == 1.0
-    assert make(**{"bounds.ttl_max_s": "0.5"}).address_seconds == 0.5
+    assert make().address_ttl_seconds == 1.0
+    assert make(**{"bounds.ttl_max_s": "0.5"}).address_ttl_seconds == 0.5
 
 
 @pytest.mark.parametrize(
@@ -83,7 +83,7 @@
 )
 def test_what_is_missing_or_wrong_is_named(name, value, text):
     with pytest.raises(SettingsError, match=text):
-        make(**{name: value}).make_entry()
+        make(**{name: value}).make_entry_settings()
 
 
 def test_file_that_is_missing_or_malformed_is_named(monkeypatch, tmp_path):
--- a/tests/adapter/test_targets.py
+++ b/tests/adapter/test_targets.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from adapter.targets import Targets
+from adapter.httptargetclient import HttpTargetClient
 from chivepier.gateway.limits import RequestedBackoff
 from chivepier.gateway.serving import BrokenAnswerError
 from chivepier.gateway.serving import ConnectionLostError
@@ -74,7 +74,7 @@
         server = await asyncio.start_server(end, "127.0.0.1", 0)
         raw = rawtarget.RawTarget(None)
         raw.address = "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
-        async with Targets() as targets:
+        async with HttpTargetClient() as targets:
             found = await targets.probe(raw.make_target())
         assert found is Liveness.ENDED
 
@@ -156,7 +156,7 @@
         )
         assert await read_all(first) == b"r1"
         released.set()
-        while not targets.holds_surplus():
+        while not targets.has_unsolicited_data():
             await asyncio.sleep(0)
         second = await send(
             targets, target, rawtarget.make_request("r2"), ORDER
