--- a/tests/adapter/exchange.py
+++ b/tests/adapter/exchange.py
@@ -6,14 +6,14 @@
 from chivepier.gateway.serving import SendOptions
 import rawtarget
 
-FULL = b"503 Service Unavailable"
-ORDER = SendOptions(seconds=1.5, team="t1", urgency=2)
-ONCE = SendOptions(seconds=1.5, once=True)
+UNAVAILABLE = b"503 Service Unavailable"
+OPTIONS = SendOptions(seconds=1.5, team="t1", urgency=2)
+ONCE_OPTIONS = SendOptions(seconds=1.5, once=True)
 
 
-def answer(
+def build_answer(
     body: bytes,
-    identity: bytes = b"r1",
+    request_id: bytes = b"r1",
     extra: bytes = b"",
     status: bytes = b"200 OK",
 ) -> bytes:
@@ -21,7 +21,7 @@
     return (
         b"HTTP/1.1 %s\r\nX-Chivepier-Request-Id: %s\r\n%s"
         b"Content-Length: %d\r\n\r\n%s"
-        % (status, identity, extra, len(body), body)
+        % (status, request_id, extra, len(body), body)
     )
 
 
@@ -34,39 +34,39 @@
     return data
 
 
-class Free:
+class RecordingExchange:
     """A contact that may begin; notes what it hears."""
 
     def __init__(self):
-        self.heard: list = []
+        self.heads: list = []
 
     def begin(self) -> None:
         """Allow everything."""
 
     def record_head(self, facts) -> None:
         """Note an answer's head."""
-        self.heard.append(facts)
+        self.heads.append(facts)
 
 
-def send(targets, target, request, order):
+def send(targets, target, request, options):
     """Send a request that may go."""
-    return targets.send(target, request, order, Free())
+    return targets.send(target, request, options, RecordingExchange())
 
 
 def reserve(targets, target, tokens, seconds):
     """Reserve room at a target that may be asked."""
-    return targets.reserve(target, tokens, seconds, Free())
+    return targets.reserve(target, tokens, seconds, RecordingExchange())
 
 
 def move(targets, source, request_id, destination, last, seconds):
     """Move a run whose target may be asked."""
     work = (source, request_id, destination, last, seconds)
-    return targets.move(*work, Free())
+    return targets.move(*work, RecordingExchange())
 
 
 def drop(targets, target, handle):
     """Free a copy at a target that may be asked."""
-    return targets.drop(target, handle, Free())
+    return targets.drop(target, handle, RecordingExchange())
 
 
 def run(script, test):
--- a/tests/adapter/rawtarget.py
+++ b/tests/adapter/rawtarget.py
@@ -69,15 +69,15 @@
     writer.transport.abort()
 
 
-def make_request(identity: str = "r1", method: str = "GET") -> CallerRequest:
+def make_request(request_id: str = "r1", method: str = "GET") -> CallerRequest:
     """Make a caller's request without a body."""
     return CallerRequest(
-        id=identity,
+        id=request_id,
         method=method,
         url="/a/b?c=%20d",
         path="/a/b",
         host="h.example",
-        headers=(("X-Chivepier-Request-Id", identity),),
+        headers=(("X-Chivepier-Request-Id", request_id),),
         body=b"",
         key=None,
         arrived=0.0,
--- a/tests/adapter/test_announcement.py
+++ b/tests/adapter/test_announcement.py
@@ -13,7 +13,7 @@
 from chivepier.gateway.targets import Target
 from chivepier.gateway.targets import TargetState
 
-PLAIN = {
+ANNOUNCEMENT = {
     "service": "s",
     "address": "10.0.0.1:80",
     "zone": "z1",
@@ -24,9 +24,9 @@
     "seq": 4,
     "born": 1700000000000,
 }
-NEEDED = ("service", "address", "slots", "state", "seq")
+REQUIRED_FIELDS = ("service", "address", "slots", "state", "seq")
 # What another writer may put in place of a value.
-STRANGE = strategies.one_of(
+ARBITRARY_VALUES = strategies.one_of(
     strategies.none(),
     strategies.booleans(),
     strategies.integers(),
@@ -37,30 +37,30 @@
 )
 
 
-def decode(plain, instance="i-1") -> Target:
+def decode(fields, instance="i-1") -> Target:
     """Read an announcement of a plain object."""
-    body = plain if isinstance(plain, bytes) else json.dumps(plain).encode()
+    body = fields if isinstance(fields, bytes) else json.dumps(fields).encode()
     return decode_announcement(instance, body, 100.0)
 
 
-def test_announcement_of_a_target():
-    target = decode(PLAIN)
+def test_announcement_is_decoded():
+    target = decode(ANNOUNCEMENT)
     assert target.state is TargetState.READY
     assert (target.number, target.slots) == (4, 24)
     assert (target.heard, target.warm_at) == (100.0, 100.5)
     assert target.born == 1700000000000
 
 
-def test_target_that_does_not_tell_its_start():
-    plain = {name: PLAIN[name] for name in NEEDED}
-    assert decode(plain).born == 0
+def test_start_of_incarnation_is_optional():
+    fields = {name: ANNOUNCEMENT[name] for name in REQUIRED_FIELDS}
+    assert decode(fields).born == 0
 
 
-@pytest.mark.parametrize("name", NEEDED)
-def test_what_is_missing_makes_it_void(name):
-    plain = {key: value for key, value in PLAIN.items() if key != name}
+@pytest.mark.parametrize("name", REQUIRED_FIELDS)
+def test_announcement_without_required_field_is_rejected(name):
+    fields = {key: value for key, value in ANNOUNCEMENT.items() if key != name}
     with pytest.raises(AnnouncementError):
-        decode(plain)
+        decode(fields)
 
 
 # An unknown state counted as ready, true as the number one, and not-a-number
@@ -96,33 +96,35 @@
         ("cold-left-ms", "5"),
     ],
 )
-def test_what_no_target_says_makes_it_void(name, value):
+def test_announcement_with_invalid_value_is_rejected(name, value):
     with pytest.raises(AnnouncementError):
-        decode({**PLAIN, name: value})
+        decode({**ANNOUNCEMENT, name: value})
 
 
 @pytest.mark.parametrize(
     "body", [b"", b"{", b"\xff\xfe", b"[]", b"null", b"[" * 100_000]
 )
-def test_bytes_that_are_no_object_make_it_void(body):
+def test_body_that_is_not_an_object_is_rejected(body):
     with pytest.raises(AnnouncementError):
         decode(body)
 
 
 @pytest.mark.parametrize("instance", ["a\r\nX-Team: t", "", "a b", "\u00e9"])
-def test_name_that_would_add_headers_makes_it_void(instance):
+def test_name_that_allows_header_injection_is_rejected(instance):
     with pytest.raises(AnnouncementError):
-        decode(PLAIN, instance)
+        decode(ANNOUNCEMENT, instance)
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
-@given(name=strategies.sampled_from(sorted(PLAIN)), value=STRANGE)
-def test_another_value_is_void_or_read_as_it_is(name, value):
+@given(
+    name=strategies.sampled_from(sorted(ANNOUNCEMENT)), value=ARBITRARY_VALUES
+)
+def test_arbitrary_value_is_rejected_or_kept_unchanged(name, value):
     try:
-        target = decode({**PLAIN, name: value})
+        target = decode({**ANNOUNCEMENT, name: value})
     except AnnouncementError:
         return
-    read = {
+    decoded = {
         "service": target.service,
         "address": target.address,
         "zone": target.zone,
@@ -130,20 +132,20 @@
         "seq": target.number,
         "born": target.born,
     }
-    if name in read:
-        assert read[name] == value and type(read[name]) is type(value)
+    if name in decoded:
+        assert decoded[name] == value and type(decoded[name]) is type(value)
     assert target.state is TargetState.READY
     assert 100.0 <= target.warm_at <= 3700.0
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(body=strategies.binary(max_size=60))
-def test_bytes_of_another_writer_raise_nothing_else(body):
+def test_arbitrary_bytes_raise_only_announcement_errors(body):
     with pytest.raises(AnnouncementError):
         decode(body)
 
 
-def test_farewell_names_a_life_or_none():
+def test_deregistration_may_name_an_incarnation():
     assert decode_deregistration(b"") is None
     assert decode_deregistration(b"{}") is None
     assert decode_deregistration(b'{"born": 17}') == 17
--- a/tests/adapter/test_callers.py
+++ b/tests/adapter/test_callers.py
@@ -7,7 +7,7 @@
 import time
 
 import pytest
-from test_configcodec import PLAIN
+from test_configcodec import CONFIG_FIELDS
 
 from adapter.callers import CallerServer
 from adapter.configcodec import decode_config
@@ -41,13 +41,13 @@
     },
 ]
 CONFIG = {
-    **PLAIN,
+    **CONFIG_FIELDS,
     "routes": ROUTES,
     "services": [{"name": "s", "max-conns": 10}],
 }
 
 
-class Door:
+class EntryFixture:
     """An entry on loopback before one scripted target."""
 
     def __init__(self, script, body_bytes: int = 32 << 20):
@@ -58,7 +58,7 @@
         self.metrics_port = find_port()
         self._stack = contextlib.AsyncExitStack()
 
-    async def __aenter__(self) -> "Door":
+    async def __aenter__(self) -> "EntryFixture":
         enter = self._stack.enter_async_context
         await enter(self.raw)
         targets = await enter(HttpTargetClient())
@@ -81,9 +81,11 @@
             Entry(settings, targets, decode_config, clock, log)
         )
         ready = f"127.0.0.1:{self.ready_port}"
-        scraped = f"127.0.0.1:{self.metrics_port}"
+        metrics_address = f"127.0.0.1:{self.metrics_port}"
         address = settings.address
-        await enter(CallerServer(self.entry, clock, address, ready, scraped))
+        await enter(
+            CallerServer(self.entry, clock, address, ready, metrics_address)
+        )
         target = self.raw.make_target()
         target.heard = clock.monotonic()
         self.entry.table.put(target)
@@ -97,7 +99,7 @@
         body = json.dumps({**CONFIG, **changes}).encode()
         self.entry.state.adopt(RouteIndex(decode_config(body)))
 
-    async def ask(self, data: bytes, port: int | None = None) -> bytes:
+    async def send(self, data: bytes, port: int | None = None) -> bytes:
         """Send bytes and read until the entry closes."""
         reader, writer = await asyncio.open_connection(
             "127.0.0.1", port or self.port
@@ -109,7 +111,7 @@
             writer.close()
 
 
-def make_call(path: str, *lines: str, body: bytes = b"") -> bytes:
+def build_request(path: str, *lines: str, body: bytes = b"") -> bytes:
     """Write a call that asks for the connection to be closed."""
     head = [
         f"POST {path} HTTP/1.1",
@@ -127,10 +129,12 @@
     """Run a test before a target that follows a script."""
 
     async def work():
-        async with asyncio.timeout(15), Door(script, **options) as door:
+        async with asyncio.timeout(15), EntryFixture(
+            script, **options
+        ) as fixture:
             if configured:
-                door.configure()
-            await test(door)
+                fixture.configure()
+            await test(fixture)
 
     asyncio.run(work())
 
@@ -148,18 +152,20 @@
     )
 
 
-def test_answer_and_stamp_are_passed_through():
-    async def test(door):
-        answer = await door.ask(make_call("/once/x?q=%41"))
+def test_answer_and_its_headers_are_forwarded():
+    async def test(fixture):
+        answer = await fixture.send(build_request("/once/x?q=%41"))
         assert read_status(answer) == 200
         assert b"X-Chivepier-Server-Stamp: s1" in answer
         assert answer.endswith(b"\r\n\r\nok")
-        assert door.raw.requests[0].startswith(b"POST /once/x?q=%41 HTTP/1.1")
+        assert fixture.raw.requests[0].startswith(
+            b"POST /once/x?q=%41 HTTP/1.1"
+        )
 
     run(answer_ok, test)
 
 
-def test_rest_asked_before_a_later_life_was_announced_holds_for_it():
+def test_backoff_requested_before_a_restart_is_announced_applies():
     # A target that had started again asked for rest, and was sent more as
     # soon as its announcement came: the rest counted as its earlier life's.
     async def refuse(head, writer):
@@ -169,34 +175,34 @@
             b"Content-Length: 0\r\n\r\n"
         )
 
-    async def test(door):
-        await door.ask(make_call("/once/x"))
-        later = door.raw.make_target()
+    async def test(fixture):
+        await fixture.send(build_request("/once/x"))
+        later = fixture.raw.make_target()
         later.born, later.heard = 7, time.monotonic()
-        door.entry.table.put(later)
-        sent = len(door.raw.requests)
-        assert read_status(await door.ask(make_call("/once/x"))) == 429
-        assert len(door.raw.requests) == sent == 1
+        fixture.entry.table.put(later)
+        sent = len(fixture.raw.requests)
+        assert read_status(await fixture.send(build_request("/once/x"))) == 429
+        assert len(fixture.raw.requests) == sent == 1
 
     run(refuse, test)
 
 
-def test_metrics_tell_team_class_and_outcome():
-    async def test(door):
-        await door.ask(make_call("/once/x"))
+def test_metrics_are_labelled_by_team_class_and_outcome():
+    async def test(fixture):
+        await fixture.send(build_request("/once/x"))
         scrape = b"GET /metrics HTTP/1.1\r\nHost: x\r\n"
         closing = scrape + b"Connection: close\r\n\r\n"
-        answer = await door.ask(closing, door.metrics_port)
+        answer = await fixture.send(closing, fixture.metrics_port)
         line = b'class="1",outcome="answered",team="t1"} 1.0'
         assert line in answer
 
     run(answer_ok, test)
 
 
-def test_headers_of_the_system_are_not_taken_from_callers():
+def test_internal_headers_of_callers_are_removed():
     # A team could act as another one, or take memory that is another's: it
     # sent the headers by which this system speaks to targets.
-    own = {
+    internal_headers = {
         "X-Chivepier-Tenant": "t9",
         "X-Chivepier-Hold": "h",
         "X-Chivepier-Pin-Ms": "1",
@@ -206,11 +212,13 @@
         "X-Chivepier-Expect-Instance": "i9",
     }
 
-    async def test(door):
-        lines = [f"{name}: {value}" for name, value in own.items()]
+    async def test(fixture):
+        lines = [
+            f"{name}: {value}" for name, value in internal_headers.items()
+        ]
         lines.append("X-Other: kept")
-        await door.ask(make_call("/once/x", *lines))
-        seen = door.raw.requests[0].decode()
+        await fixture.send(build_request("/once/x", *lines))
+        seen = fixture.raw.requests[0].decode()
         assert "X-Other: kept" in seen and "X-Chivepier-Tenant: t1" in seen
         assert "X-Chivepier-Expect-Instance: i1" in seen
         assert "k1" not in seen
@@ -237,119 +245,129 @@
     ],
 )
 def test_malformed_or_unknown_requests_are_answered(path, line, status):
-    async def test(door):
+    async def test(fixture):
         lines = [line] if line else []
-        answer = await door.ask(make_call(path, *lines))
+        answer = await fixture.send(build_request(path, *lines))
         assert read_status(answer) == status
-        assert not door.raw.requests
+        assert not fixture.raw.requests
 
     run(answer_ok, test)
 
 
 def test_body_over_the_limit_is_refused():
-    async def test(door):
-        answer = await door.ask(make_call("/once/x", body=b"x" * 1001))
+    async def test(fixture):
+        answer = await fixture.send(build_request("/once/x", body=b"x" * 1001))
         assert read_status(answer) == 413
-        assert not door.raw.requests
+        assert not fixture.raw.requests
 
     run(answer_ok, test)
 
 
-def test_bodies_of_many_callers_do_not_end_the_instance():
+def test_buffered_bodies_are_limited_in_total():
     # Many bodies at once ended one instance after the other.
-    async def test(door):
+    async def test(fixture):
         size = 1_000
-        head = make_call("/once/x").replace(
+        head = build_request("/once/x").replace(
             b"Content-Length: 0", b"Content-Length: %d" % size
         )
         part = head + b"x" * (size // 2)
         writers = []
         for _ in range(3):
-            _, writer = await asyncio.open_connection("127.0.0.1", door.port)
+            _, writer = await asyncio.open_connection(
+                "127.0.0.1", fixture.port
+            )
             writer.write(part)
             writers.append(writer)
         used_bytes = 3 * (size // 2)
-        while door.entry.bodies.used_bytes < used_bytes:
+        while fixture.entry.bodies.used_bytes < used_bytes:
             await asyncio.sleep(0.01)
-        reader, writer = await asyncio.open_connection("127.0.0.1", door.port)
+        reader, writer = await asyncio.open_connection(
+            "127.0.0.1", fixture.port
+        )
         writer.write(part)
         answer = await reader.readuntil(b"}")
         assert read_status(answer) == 429 and b"overloaded" in answer
         writers.append(writer)
-        assert door.raw.requests == []
+        assert fixture.raw.requests == []
         for writer in writers:
             writer.close()
-        while door.entry.bodies.used_bytes:
+        while fixture.entry.bodies.used_bytes:
             await asyncio.sleep(0.01)
-        assert read_status(await door.ask(make_call("/once/x"))) == 200
+        assert read_status(await fixture.send(build_request("/once/x"))) == 200
 
     run(answer_ok, test, body_bytes=1_700)
 
 
-def test_body_that_never_comes_whole_takes_no_room_for_ever():
+def test_incomplete_body_releases_its_memory_at_the_deadline():
     # Callers sent half of a body and then nothing. Each kept its part of the
     # memory for bodies until it left, and in the end nobody else had any.
-    async def test(door):
-        call = make_call("/once/x", "X-Chivepier-Deadline-Ms: 100")
-        call = call.replace(b"Content-Length: 0", b"Content-Length: 900")
-        reader, writer = await asyncio.open_connection("127.0.0.1", door.port)
-        writer.write(call + b"x" * 400)
+    async def test(fixture):
+        request = build_request("/once/x", "X-Chivepier-Deadline-Ms: 100")
+        request = request.replace(b"Content-Length: 0", b"Content-Length: 900")
+        reader, writer = await asyncio.open_connection(
+            "127.0.0.1", fixture.port
+        )
+        writer.write(request + b"x" * 400)
         answer = await reader.readuntil(b"}")
         assert read_status(answer) == 504 and b"did not come" in answer
-        assert door.entry.bodies.used_bytes == 0 and not door.raw.requests
+        assert (
+            fixture.entry.bodies.used_bytes == 0 and not fixture.raw.requests
+        )
         writer.close()
 
     run(answer_ok, test)
 
 
 def test_wrong_key_is_refused():
-    async def test(door):
-        call = make_call("/once/x").replace(b"k1", b"k9")
-        assert read_status(await door.ask(call)) == 401
+    async def test(fixture):
+        request = build_request("/once/x").replace(b"k1", b"k9")
+        assert read_status(await fixture.send(request)) == 401
 
     run(answer_ok, test)
 
 
-def test_smuggled_request_is_not_run():
+def test_request_smuggling_is_rejected():
     # Two lengths that differ: a target that believed the other one would
     # run what stands in the body as a request of its own.
-    async def test(door):
-        call = make_call("/once/x", "Transfer-Encoding: chunked", body=b"0")
-        assert read_status(await door.ask(call)) == 400
-        assert not door.raw.requests
+    async def test(fixture):
+        request = build_request(
+            "/once/x", "Transfer-Encoding: chunked", body=b"0"
+        )
+        assert read_status(await fixture.send(request)) == 400
+        assert not fixture.raw.requests
 
     run(answer_ok, test)
 
 
-def test_target_that_breaks_off_gives_no_promise():
+def test_lost_request_is_not_reported_as_not_run():
     # 503 would promise that the request has not run; it may have.
     async def script(head, writer):
         writer.close()
 
-    async def test(door):
-        answer = await door.ask(make_call("/once/x"))
+    async def test(fixture):
+        answer = await fixture.send(build_request("/once/x"))
         assert read_status(answer) == 502
         assert b"Retry-After" not in answer
 
     run(script, test)
 
 
-def test_without_configuration_callers_are_told_when_to_come_back():
-    async def test(door):
-        answer = await door.ask(make_call("/once/x"))
+def test_entry_without_configuration_is_not_ready():
+    async def test(fixture):
+        answer = await fixture.send(build_request("/once/x"))
         assert read_status(answer) == 503 and b"Retry-After" in answer
         check = b"GET /chivepier/ready HTTP/1.1\r\nHost: x\r\n"
         closing = check + b"Connection: close\r\n\r\n"
-        ready = await door.ask(closing, door.ready_port)
+        ready = await fixture.send(closing, fixture.ready_port)
         assert read_status(ready) == 503
-        door.configure()
-        ready = await door.ask(closing, door.ready_port)
+        fixture.configure()
+        ready = await fixture.send(closing, fixture.ready_port)
         assert read_status(ready) == 200
 
     run(answer_ok, test, configured=False)
 
 
-def test_stream_that_breaks_off_is_not_ended_as_whole():
+def test_interrupted_stream_is_not_ended_as_complete():
     async def script(head, writer):
         writer.write(
             b"HTTP/1.1 200 OK\r\nX-Chivepier-Request-Id: r1\r\n"
@@ -359,9 +377,11 @@
         await writer.drain()
         rawtarget.reset(writer)
 
-    async def test(door):
-        reader, writer = await asyncio.open_connection("127.0.0.1", door.port)
-        writer.write(make_call("/stream/x"))
+    async def test(fixture):
+        reader, writer = await asyncio.open_connection(
+            "127.0.0.1", fixture.port
+        )
+        writer.write(build_request("/stream/x"))
         data = b""
         with contextlib.suppress(ConnectionError):
             while part := await reader.read(1000):
@@ -372,53 +392,55 @@
     run(script, test)
 
 
-def test_caller_that_leaves_ends_its_request_at_the_target():
+def test_disconnect_of_a_caller_cancels_its_request():
     # Targets went on with work for callers that had gone.
-    left = asyncio.Event()
-    doors = []
+    disconnected = asyncio.Event()
+    fixtures = []
 
     async def script(head, writer):
         with contextlib.suppress(ConnectionError):
-            await doors[0].raw.reader.read()
-        left.set()
+            await fixtures[0].raw.reader.read()
+        disconnected.set()
         writer.close()
 
-    async def test(door):
-        doors.append(door)
-        reader, writer = await asyncio.open_connection("127.0.0.1", door.port)
-        writer.write(make_call("/once/x"))
-        while not door.raw.requests:
+    async def test(fixture):
+        fixtures.append(fixture)
+        reader, writer = await asyncio.open_connection(
+            "127.0.0.1", fixture.port
+        )
+        writer.write(build_request("/once/x"))
+        while not fixture.raw.requests:
             await asyncio.sleep(0.01)
         writer.transport.abort()
-        await left.wait()
+        await disconnected.wait()
 
     run(script, test)
 
 
-def test_leaving_entry_serves_and_ends_when_the_last_has_ended():
+def test_draining_entry_completes_its_requests():
     release = asyncio.Event()
 
     async def script(head, writer):
         await release.wait()
         await answer_ok(head, writer)
 
-    async def test(door):
-        asked = asyncio.create_task(door.ask(make_call("/once/x")))
-        while not door.raw.requests:
+    async def test(fixture):
+        pending = asyncio.create_task(fixture.send(build_request("/once/x")))
+        while not fixture.raw.requests:
             await asyncio.sleep(0.01)
-        drained = asyncio.create_task(door.entry.drain())
+        drained = asyncio.create_task(fixture.entry.drain())
         await asyncio.sleep(0)
-        assert not door.entry.following.ready
+        assert not fixture.entry.following.ready
         release.set()
-        assert read_status(await asked) == 200
-        late = await door.ask(make_call("/once/x"))
+        assert read_status(await pending) == 200
+        late = await fixture.send(build_request("/once/x"))
         assert read_status(late) == 200
         await drained
 
     run(script, test)
 
 
-def test_leaving_entry_turns_away_what_it_could_not_finish():
+def test_stopping_entry_rejects_requests_it_could_not_finish():
     # What came just before the end of a stopped entry was cut.
     release = asyncio.Event()
 
@@ -426,32 +448,36 @@
         await release.wait()
         await answer_ok(head, writer)
 
-    async def test(door):
-        asked = asyncio.create_task(door.ask(make_call("/stream/x")))
-        while not door.raw.requests:
+    async def test(fixture):
+        pending = asyncio.create_task(fixture.send(build_request("/stream/x")))
+        while not fixture.raw.requests:
             await asyncio.sleep(0.01)
-        drained = asyncio.create_task(door.entry.drain())
-        while not door.entry.state.stopping:
+        drained = asyncio.create_task(fixture.entry.drain())
+        while not fixture.entry.state.stopping:
             await asyncio.sleep(0.01)
-        late = await door.ask(make_call("/once/y"))
+        late = await fixture.send(build_request("/once/y"))
         assert read_status(late) == 503
         assert b"retry-after: 0" in late.lower()
-        assert len(door.raw.requests) == 1
+        assert len(fixture.raw.requests) == 1
         release.set()
-        assert read_status(await asked) == 200
+        assert read_status(await pending) == 200
         await drained
 
     run(script, test)
 
 
-def test_idle_connection_is_kept_as_long_as_the_configuration_says():
+def test_idle_timeout_is_taken_from_the_configuration():
     # Connections were closed within the idle time of the configuration.
-    async def test(door):
+    async def test(fixture):
         limits = {"idle-timeout-ms": 200}
-        door.configure(version=PLAIN["version"] + 1, limits=limits)
-        reader, writer = await asyncio.open_connection("127.0.0.1", door.port)
-        call = make_call("/once/x").replace(b"Connection: close\r\n", b"")
-        writer.write(call)
+        fixture.configure(version=CONFIG_FIELDS["version"] + 1, limits=limits)
+        reader, writer = await asyncio.open_connection(
+            "127.0.0.1", fixture.port
+        )
+        request = build_request("/once/x").replace(
+            b"Connection: close\r\n", b""
+        )
+        writer.write(request)
         async with asyncio.timeout(10):
             answer = await reader.read()
         assert read_status(answer) == 200
@@ -462,14 +488,16 @@
 
 
 @pytest.mark.parametrize("limits,status", [({}, 400), (None, 200)])
-def test_head_may_be_as_large_as_the_configuration_says(limits, status):
+def test_header_limit_is_taken_from_the_configuration(limits, status):
     # A header of 20 KB was refused though the configuration allows 32 KB.
     if limits is None:
         limits = {"max-header-bytes": 32768}
 
-    async def test(door):
-        door.configure(version=PLAIN["version"] + 1, limits=limits)
-        answer = await door.ask(make_call("/once/x", f"X-Long: {'a' * 20000}"))
+    async def test(fixture):
+        fixture.configure(version=CONFIG_FIELDS["version"] + 1, limits=limits)
+        answer = await fixture.send(
+            build_request("/once/x", f"X-Long: {'a' * 20000}")
+        )
         assert read_status(answer) == status
 
     run(answer_ok, test)
--- a/tests/adapter/test_configcodec.py
+++ b/tests/adapter/test_configcodec.py
@@ -9,7 +9,7 @@
 from chivepier.gateway.config import ConfigurationError
 from chivepier.gateway.config import Repetition
 
-PLAIN = {
+CONFIG_FIELDS = {
     "version": 7,
     "routes": [
         {
@@ -77,13 +77,13 @@
 
 def decode(change=None):
     """Decode the plain configuration after a change."""
-    plain = copy.deepcopy(PLAIN)
+    fields = copy.deepcopy(CONFIG_FIELDS)
     if change is not None:
-        change(plain)
-    return decode_config(json.dumps(plain).encode())
+        change(fields)
+    return decode_config(json.dumps(fields).encode())
 
 
-def test_names_become_what_they_hold():
+def test_configuration_is_decoded():
     found = decode()
     first, second, third = found.routes
     assert found.version == 7
@@ -105,8 +105,8 @@
     assert found.teams[0].keys == ("k1", "k2")
 
 
-def test_without_teams_no_key_is_asked_for():
-    found = decode(lambda plain: plain.pop("tenants"))
+def test_configuration_without_teams_is_valid():
+    found = decode(lambda fields: fields.pop("tenants"))
     assert found.teams == ()
 
 
@@ -140,19 +140,19 @@
         (lambda p: p["services"].append({"name": "web"}), "share a name"),
     ],
 )
-def test_what_is_invalid_is_named(change, text):
+def test_error_names_the_invalid_value(change, text):
     with pytest.raises(ConfigurationError, match=text):
         decode(change)
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b"[1]", b"null", b"\xff", b"7"])
-def test_what_can_not_be_read_in_full_is_refused(body):
+def test_body_that_is_not_an_object_is_refused(body):
     with pytest.raises(ConfigurationError):
         decode_config(body)
 
 
-def test_each_cut_of_a_configuration_is_refused():
-    body = json.dumps(PLAIN).encode()
+def test_truncated_configuration_is_refused():
+    body = json.dumps(CONFIG_FIELDS).encode()
     for end in range(0, len(body) - 1, 37):
         with pytest.raises(ConfigurationError):
             decode_config(body[:end])
--- a/tests/adapter/test_control.py
+++ b/tests/adapter/test_control.py
@@ -5,7 +5,7 @@
 import os
 
 import aiohttp
-from test_configcodec import PLAIN
+from test_configcodec import CONFIG_FIELDS
 
 from adapter.configcodec import decode_host_regions
 from adapter.control import ControlServer
@@ -16,7 +16,7 @@
 from chivepier.standins.cluster import find_port
 from chivepier.types import SystemClock
 
-BEAT = {
+ANNOUNCEMENT = {
     "service": "s",
     "address": "10.0.0.1:80",
     "zone": "z1",
@@ -60,29 +60,29 @@
     asyncio.run(work())
 
 
-async def put_config(client, plain) -> int:
+async def put_config(client, fields) -> int:
     """Send a configuration until the answer is clear."""
     while True:
-        body = plain if isinstance(plain, bytes) else json.dumps(plain)
+        body = fields if isinstance(fields, bytes) else json.dumps(fields)
         async with client.put("/chivepier/config", data=body) as answer:
             if answer.status != 503:
                 return answer.status
 
 
-def test_beats_and_farewells(tmp_path):
+def test_announcements_and_deregistrations(tmp_path):
     async def test(voter, client):
         path = "/chivepier/instances/i-1"
-        async with client.put(path, json=BEAT) as answer:
+        async with client.put(path, json=ANNOUNCEMENT) as answer:
             assert answer.status == 200
         target = voter.table.get("i-1")
         assert target.state is TargetState.READY and target.slots == 24
-        leaving = {**BEAT, "state": "draining", "seq": 5}
+        leaving = {**ANNOUNCEMENT, "state": "draining", "seq": 5}
         async with client.put(path, json=leaving) as answer:
             assert answer.status == 200
-        async with client.put(path, json=BEAT) as answer:
+        async with client.put(path, json=ANNOUNCEMENT) as answer:
             assert answer.status == 200
         assert voter.table.is_leaving("i-1")
-        again = {**BEAT, "seq": 1, "born": 1700}
+        again = {**ANNOUNCEMENT, "seq": 1, "born": 1700}
         async with client.put(path, json=again) as answer:
             assert answer.status == 200
         assert not voter.table.is_leaving("i-1")
@@ -100,11 +100,11 @@
     run(test, tmp_path)
 
 
-def test_configurations_by_their_highest_version(tmp_path):
+def test_older_configuration_does_not_replace_newer(tmp_path):
     async def test(voter, client):
-        newer = {**PLAIN, "version": 9}
+        newer = {**CONFIG_FIELDS, "version": 9}
         assert await put_config(client, newer) == 200
-        assert await put_config(client, PLAIN) == 200
+        assert await put_config(client, CONFIG_FIELDS) == 200
         async with client.get("/chivepier/config") as answer:
             assert answer.status == 200
             assert json.loads(await answer.read()) == newer
@@ -114,20 +114,20 @@
 
 def test_invalid_configurations_change_nothing(tmp_path):
     async def test(voter, client):
-        assert await put_config(client, PLAIN) == 200
-        body = json.dumps({**PLAIN, "version": 12}).encode()
+        assert await put_config(client, CONFIG_FIELDS) == 200
+        body = json.dumps({**CONFIG_FIELDS, "version": 12}).encode()
         assert await put_config(client, body[:-9]) == 400
         shared = {"name": "t2", "api-keys": ["k1"]}
-        bad = {**PLAIN, "version": 13}
-        bad["tenants"] = [*PLAIN["tenants"], shared]
+        bad = {**CONFIG_FIELDS, "version": 13}
+        bad["tenants"] = [*CONFIG_FIELDS["tenants"], shared]
         assert await put_config(client, bad) == 400
         async with client.get("/chivepier/config") as answer:
-            assert json.loads(await answer.read()) == PLAIN
+            assert json.loads(await answer.read()) == CONFIG_FIELDS
 
     run(test, tmp_path)
 
 
-def test_no_entry_is_told_as_unknown(tmp_path):
+def test_look_up_without_entries_is_unavailable(tmp_path):
     async def test(voter, client):
         async with client.get("/chivepier/resolve?name=x") as answer:
             assert answer.status == 503
--- a/tests/adapter/test_heads.py
+++ b/tests/adapter/test_heads.py
@@ -8,12 +8,12 @@
 from chivepier.gateway.limits import NoLimit
 from chivepier.gateway.limits import RateLimit
 from chivepier.gateway.limits import RequestedBackoff
-from exchange import answer
-from exchange import FULL
-from exchange import ORDER
+from exchange import build_answer
+from exchange import OPTIONS
 from exchange import read_all
 from exchange import run
 from exchange import send
+from exchange import UNAVAILABLE
 import rawtarget
 
 
@@ -33,13 +33,13 @@
         (b"Server-Limit:\r\n", InvalidLimit()),
     ),
 )
-def test_limit_is_read_of_an_answer(header, limit):
+def test_rate_limit_is_parsed(header, limit):
     async def script(head, writer):
-        writer.write(answer(b"ok", extra=header))
+        writer.write(build_answer(b"ok", extra=header))
 
     async def test(raw, targets):
         reply = await send(
-            targets, raw.make_target(), rawtarget.make_request(), ORDER
+            targets, raw.make_target(), rawtarget.make_request(), OPTIONS
         )
         assert reply.facts.limit == limit
         assert reply.facts.unknown_headers == ()
@@ -48,55 +48,59 @@
     run(script, test)
 
 
-NOON = b"Date: Thu, 03 Dec 2026 12:00:00 GMT\r\n"
+DATE_HEADER = b"Date: Thu, 03 Dec 2026 12:00:00 GMT\r\n"
 
 
 @pytest.mark.parametrize(
     ("status", "header", "rest"),
     (
-        (FULL, b"", NoBackoff()),
-        (FULL, b"Retry-After: 3\r\n", RequestedBackoff(3.0)),
-        (FULL, b"retry-after:  0.25 \r\n", RequestedBackoff(0.25)),
+        (UNAVAILABLE, b"", NoBackoff()),
+        (UNAVAILABLE, b"Retry-After: 3\r\n", RequestedBackoff(3.0)),
+        (UNAVAILABLE, b"retry-after:  0.25 \r\n", RequestedBackoff(0.25)),
         (b"429 Busy", b"Retry-After: 2\r\n", RequestedBackoff(2.0)),
         (b"200 OK", b"Retry-After: 3\r\n", NoBackoff()),
         (b"421 Other", b"Retry-After: 3\r\n", NoBackoff()),
-        (FULL, b"Retry-After: 0\r\n", NoBackoff()),
-        (FULL, b"Retry-After: 1e9\r\n", RequestedBackoff(1e9)),
-        (FULL, b"Retry-After: 1\r\nRetry-After: 4\r\n", RequestedBackoff(4.0)),
+        (UNAVAILABLE, b"Retry-After: 0\r\n", NoBackoff()),
+        (UNAVAILABLE, b"Retry-After: 1e9\r\n", RequestedBackoff(1e9)),
         (
-            FULL,
+            UNAVAILABLE,
+            b"Retry-After: 1\r\nRetry-After: 4\r\n",
+            RequestedBackoff(4.0),
+        ),
+        (
+            UNAVAILABLE,
             b"Retry-After: soon\r\nRetry-After: 4\r\n",
             RequestedBackoff(4.0),
         ),
-        (FULL, b"Retry-After: -1\r\n", InvalidBackoff()),
-        (FULL, b"Retry-After: nan\r\n", InvalidBackoff()),
-        (FULL, b"Retry-After: inf\r\n", InvalidBackoff()),
-        (FULL, b"Retry-After: soon\r\n", InvalidBackoff()),
-        (FULL, b"Retry-After:\r\n", InvalidBackoff()),
+        (UNAVAILABLE, b"Retry-After: -1\r\n", InvalidBackoff()),
+        (UNAVAILABLE, b"Retry-After: nan\r\n", InvalidBackoff()),
+        (UNAVAILABLE, b"Retry-After: inf\r\n", InvalidBackoff()),
+        (UNAVAILABLE, b"Retry-After: soon\r\n", InvalidBackoff()),
+        (UNAVAILABLE, b"Retry-After:\r\n", InvalidBackoff()),
         (
-            FULL,
-            NOON + b"Retry-After: Thu, 03 Dec 2026 12:00:05 GMT\r\n",
+            UNAVAILABLE,
+            DATE_HEADER + b"Retry-After: Thu, 03 Dec 2026 12:00:05 GMT\r\n",
             RequestedBackoff(5.0),
         ),
         (
-            FULL,
-            NOON + b"Retry-After: Thu, 03 Dec 2026 11:00:00 GMT\r\n",
+            UNAVAILABLE,
+            DATE_HEADER + b"Retry-After: Thu, 03 Dec 2026 11:00:00 GMT\r\n",
             NoBackoff(),
         ),
         (
-            FULL,
+            UNAVAILABLE,
             b"Retry-After: Thu, 03 Dec 2026 12:00:05 GMT\r\n",
             InvalidBackoff(),
         ),
     ),
 )
-def test_rest_is_read_of_a_refusal(status, header, rest):
+def test_backoff_is_parsed(status, header, rest):
     async def script(head, writer):
-        writer.write(answer(b"", extra=header, status=status))
+        writer.write(build_answer(b"", extra=header, status=status))
 
     async def test(raw, targets):
         reply = await send(
-            targets, raw.make_target(), rawtarget.make_request(), ORDER
+            targets, raw.make_target(), rawtarget.make_request(), OPTIONS
         )
         assert reply.facts.rest == rest
         assert reply.facts.unknown_headers == ()
@@ -114,13 +118,13 @@
         (b"Server-Leaving:\r\n", False),
     ),
 )
-def test_leaving_is_read_of_an_answer(header, leaving):
+def test_leaving_header_is_parsed(header, leaving):
     async def script(head, writer):
-        writer.write(answer(b"ok", extra=header))
+        writer.write(build_answer(b"ok", extra=header))
 
     async def test(raw, targets):
         reply = await send(
-            targets, raw.make_target(), rawtarget.make_request(), ORDER
+            targets, raw.make_target(), rawtarget.make_request(), OPTIONS
         )
         assert reply.facts.leaving is leaving
         assert await read_all(reply) == b"ok"
@@ -128,14 +132,14 @@
     run(script, test)
 
 
-def test_header_that_nothing_reads_is_told_by_name():
+def test_unknown_header_is_reported_by_name():
     # Targets named a limit for months before anybody knew of it.
     async def script(head, writer):
-        writer.write(answer(b"ok", extra=b"Server-Wish: 3\r\n"))
+        writer.write(build_answer(b"ok", extra=b"Server-Wish: 3\r\n"))
 
     async def test(raw, targets):
         reply = await send(
-            targets, raw.make_target(), rawtarget.make_request(), ORDER
+            targets, raw.make_target(), rawtarget.make_request(), OPTIONS
         )
         assert reply.facts.unknown_headers == ("Server-Wish",)
 
--- a/tests/adapter/test_program.py
+++ b/tests/adapter/test_program.py
@@ -10,7 +10,7 @@
 
 PROGRAM = pathlib.Path(__file__).parents[2] / "platform" / "chivepierd.py"
 # A restart is silent until its modules are loaded.
-FORBIDDEN = {
+FORBIDDEN_MODULES = {
     "entry": (
         "numpy",
         "yaml",
@@ -31,7 +31,7 @@
         "chivepier.gateway.entry",
     ),
 }
-LOAD = {
+IMPORTS = {
     "entry": (
         "import adapter.callers, adapter.httptargetclient, "
         "adapter.configcodec"
@@ -40,18 +40,18 @@
 }
 
 
-@pytest.mark.parametrize("role", FORBIDDEN)
-def test_role_loads_only_what_it_needs(role):
+@pytest.mark.parametrize("role", FORBIDDEN_MODULES)
+def test_role_does_not_import_unneeded_modules(role):
     code = (
         f"import sys; sys.path.insert(0, {str(PROGRAM.parent)!r})\n"
-        f"import adapter.program\n{LOAD[role]}\n"
+        f"import adapter.program\n{IMPORTS[role]}\n"
         "import json; print(json.dumps(sorted(sys.modules)))"
     )
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, check=True
     )
-    loaded = set(json.loads(done.stdout))
-    assert not loaded & set(FORBIDDEN[role])
+    loaded = set(json.loads(completed.stdout))
+    assert not loaded & set(FORBIDDEN_MODULES[role])
 
 
 def run_program(role: str, settings: str | None):
@@ -69,17 +69,20 @@
 
 
 @pytest.mark.parametrize("role", ("entry", "voter"))
-def test_missing_settings_end_it_with_one_line(role, tmp_path):
-    done = run_program(role, None)
-    assert done.returncode == 2
+def test_missing_settings_are_reported_in_one_line(role, tmp_path):
+    completed = run_program(role, None)
+    assert completed.returncode == 2
     assert (
-        done.stderr == "chivepierd: the variable CHIVEPIER_BOOT is not set\n"
+        completed.stderr
+        == "chivepierd: the variable CHIVEPIER_BOOT is not set\n"
     )
     path = tmp_path / "settings.conf"
     path.write_text("node-name=n1\n")
-    done = run_program(role, str(path))
-    assert done.returncode == 2
-    assert "is missing" in done.stderr and done.stderr.count("\n") == 1
+    completed = run_program(role, str(path))
+    assert completed.returncode == 2
+    assert (
+        "is missing" in completed.stderr and completed.stderr.count("\n") == 1
+    )
 
 
 def test_unknown_role_is_a_usage_error():
--- a/tests/adapter/test_settings.py
+++ b/tests/adapter/test_settings.py
@@ -6,7 +6,7 @@
 from adapter.settingsfile import SettingsFile
 from chivepier.gateway.settings import USUAL_BODY_BYTES
 
-LINES = {
+SETTINGS = {
     "node-name": "front-1",
     "ip": "10.1.0.19",
     "zone": "z1",
@@ -25,14 +25,14 @@
 }
 
 
-def make(**changes) -> SettingsFile:
+def make_file(**changes) -> SettingsFile:
     """Make a file's content, with names written with underscores."""
-    values = {**LINES, **changes}
+    values = {**SETTINGS, **changes}
     return SettingsFile({k: v for k, v in values.items() if v is not None})
 
 
 def test_settings_of_an_entry():
-    entry = make().make_entry_settings()
+    entry = make_file().make_entry_settings()
     assert (entry.name, entry.zone) == ("front-1", "z1")
     assert entry.address == "10.1.0.19:8740"
     # the seeds are where operators ask; peers listen at the first free port
@@ -41,32 +41,32 @@
     assert entry.repeat_extra == 56
 
 
-def test_bodies_take_a_part_of_the_memory_at_most():
-    assert make().make_entry_settings().body_bytes == USUAL_BODY_BYTES
-    entry = make(**{"limits.memory-mb": "128"}).make_entry_settings()
+def test_body_memory_is_a_fraction_of_the_limit():
+    assert make_file().make_entry_settings().body_bytes == USUAL_BODY_BYTES
+    entry = make_file(**{"limits.memory-mb": "128"}).make_entry_settings()
     assert entry.body_bytes == 16 << 20
 
 
-def test_digests_of_requests_are_checked():
+def test_invalid_digest_prefixes_are_rejected():
     # A head of two digits would keep out every request of a hundred.
-    entry = make().make_entry_settings(("0a1b0a1b0a1b",), ("ffffffff",))
+    entry = make_file().make_entry_settings(("0a1b0a1b0a1b",), ("ffffffff",))
     assert entry.orders.allows("0a1b0a1b0a1b22")
     assert entry.orders.blocks("ffffffff")
-    for wrong in ("", "0a", "0A1B0A1B", "0a1b0a1b-"):
+    for invalid in ("", "0a", "0A1B0A1B", "0a1b0a1b-"):
         with pytest.raises(SettingsError, match="keep_out is not the head"):
-            make().make_entry_settings((), (wrong,))
+            make_file().make_entry_settings((), (invalid,))
 
 
 def test_settings_of_a_voter():
-    voter = make().make_voter_settings()
+    voter = make_file().make_voter_settings()
     assert voter.address == "10.1.0.19:7200"
     assert str(voter.folder) == "/data/x" and voter.found
-    assert not make(bootstrap="false").make_voter_settings().found
+    assert not make_file(bootstrap="false").make_voter_settings().found
 
 
-def test_addresses_are_kept_no_longer_than_is_allowed():
-    assert make().address_ttl_seconds == 1.0
-    assert make(**{"bounds.ttl_max_s": "0.5"}).address_ttl_seconds == 0.5
+def test_address_ttl_is_capped_by_its_setting():
+    assert make_file().address_ttl_seconds == 1.0
+    assert make_file(**{"bounds.ttl_max_s": "0.5"}).address_ttl_seconds == 0.5
 
 
 @pytest.mark.parametrize(
@@ -81,12 +81,12 @@
         ("port-range", "x", "port-range"),
     ],
 )
-def test_what_is_missing_or_wrong_is_named(name, value, text):
+def test_error_names_the_missing_or_invalid_setting(name, value, text):
     with pytest.raises(SettingsError, match=text):
-        make(**{name: value}).make_entry_settings()
+        make_file(**{name: value}).make_entry_settings()
 
 
-def test_file_that_is_missing_or_malformed_is_named(monkeypatch, tmp_path):
+def test_error_names_the_missing_or_malformed_file(monkeypatch, tmp_path):
     monkeypatch.delenv("CHIVEPIER_BOOT", raising=False)
     with pytest.raises(SettingsError, match="CHIVEPIER_BOOT is not set"):
         SettingsFile.load()
@@ -97,6 +97,6 @@
         SettingsFile.parse("a=1\nb\n")
 
 
-def test_unknown_settings_and_empty_values_are_left_alone():
+def test_unknown_settings_and_empty_values_are_accepted():
     found = SettingsFile.parse("new.thing=1\n\nempty=\n")
     assert found.values == {"new.thing": "1", "empty": ""}
--- a/tests/adapter/test_targets.py
+++ b/tests/adapter/test_targets.py
@@ -14,27 +14,27 @@
 from chivepier.gateway.serving import NotSentError
 from chivepier.gateway.serving import SendOptions
 from chivepier.gateway.targets import Liveness
-from exchange import answer
+from exchange import build_answer
 from exchange import drop
-from exchange import Free
-from exchange import FULL
 from exchange import move
-from exchange import ONCE
-from exchange import ORDER
+from exchange import ONCE_OPTIONS
+from exchange import OPTIONS
 from exchange import read_all
+from exchange import RecordingExchange
 from exchange import reserve
 from exchange import run
 from exchange import send
+from exchange import UNAVAILABLE
 import rawtarget
 
 
-def test_request_is_passed_on_with_what_the_system_adds():
+def test_request_is_forwarded_with_internal_headers():
     async def script(head, writer):
-        writer.write(answer(b"ok"))
+        writer.write(build_answer(b"ok"))
 
     async def test(raw, targets):
         reply = await send(
-            targets, raw.make_target(), rawtarget.make_request(), ORDER
+            targets, raw.make_target(), rawtarget.make_request(), OPTIONS
         )
         assert (reply.status, await read_all(reply)) == (200, b"ok")
         lines = raw.requests[0].decode().split("\r\n")
@@ -50,9 +50,9 @@
     run(script, test)
 
 
-def test_look_at_a_target_tells_whether_it_lives():
+def test_probe_tells_whether_a_target_lives():
     async def script(head, writer):
-        writer.write(answer(b"ok"))
+        writer.write(build_answer(b"ok"))
 
     async def test(raw, targets):
         target = raw.make_target()
@@ -63,7 +63,7 @@
     run(script, test)
 
 
-def test_process_that_ends_while_it_is_looked_at_has_ended():
+def test_probe_detects_a_process_that_is_ending():
     # It took one more connection as it ended, and that one ended at once. A
     # single look would say that it lives, and the request be sent on.
     async def test():
@@ -81,7 +81,7 @@
     asyncio.run(test())
 
 
-def test_answer_without_length_that_is_reset_is_not_whole():
+def test_reset_answer_without_length_is_incomplete():
     # A reset passed for the end of an answer that names no length.
     async def script(head, writer):
         writer.write(
@@ -94,7 +94,7 @@
 
     async def test(raw, targets):
         reply = await send(
-            targets, raw.make_target(), rawtarget.make_request(), ORDER
+            targets, raw.make_target(), rawtarget.make_request(), OPTIONS
         )
         with pytest.raises(BrokenAnswerError):
             await read_all(reply)
@@ -102,7 +102,7 @@
     run(script, test)
 
 
-def test_answer_without_length_that_is_closed_is_whole():
+def test_closed_answer_without_length_is_complete():
     async def script(head, writer):
         writer.write(
             b"HTTP/1.1 200 OK\r\nX-Chivepier-Request-Id: r1\r\n"
@@ -113,22 +113,22 @@
 
     async def test(raw, targets):
         reply = await send(
-            targets, raw.make_target(), rawtarget.make_request(), ORDER
+            targets, raw.make_target(), rawtarget.make_request(), OPTIONS
         )
         assert await read_all(reply) == b"all"
 
     run(script, test)
 
 
-def test_short_answer_is_not_whole():
+def test_answer_shorter_than_its_length_is_incomplete():
     async def script(head, writer):
-        writer.write(answer(b"whole")[:-2])
+        writer.write(build_answer(b"whole")[:-2])
         await writer.drain()
         writer.close()
 
     async def test(raw, targets):
         reply = await send(
-            targets, raw.make_target(), rawtarget.make_request(), ORDER
+            targets, raw.make_target(), rawtarget.make_request(), OPTIONS
         )
         with pytest.raises(BrokenAnswerError):
             await read_all(reply)
@@ -136,30 +136,30 @@
     run(script, test)
 
 
-def test_second_answer_on_a_kept_connection_reaches_nobody():
+def test_unsolicited_answer_reaches_no_caller():
     # The next caller got the last one's answer a second time.
     released = asyncio.Event()
 
     async def script(head, writer):
-        identity = head.split(b"Request-Id: ")[1].split(b"\r\n")[0]
-        writer.write(answer(identity, identity))
+        request_id = head.split(b"Request-Id: ")[1].split(b"\r\n")[0]
+        writer.write(build_answer(request_id, request_id))
         await writer.drain()
-        if identity == b"r1":
+        if request_id == b"r1":
             await released.wait()
-            writer.write(answer(b"again", b"r1"))
+            writer.write(build_answer(b"again", b"r1"))
             await writer.drain()
 
     async def test(raw, targets):
         target = raw.make_target()
         first = await send(
-            targets, target, rawtarget.make_request("r1"), ORDER
+            targets, target, rawtarget.make_request("r1"), OPTIONS
         )
         assert await read_all(first) == b"r1"
         released.set()
         while not targets.has_unsolicited_data():
             await asyncio.sleep(0)
         second = await send(
-            targets, target, rawtarget.make_request("r2"), ORDER
+            targets, target, rawtarget.make_request("r2"), OPTIONS
         )
         assert not second.facts.mismatched
         assert await read_all(second) == b"r2"
@@ -168,13 +168,13 @@
     run(script, test)
 
 
-def test_answer_to_another_request_is_told():
+def test_answer_to_another_request_is_detected():
     async def script(head, writer):
-        writer.write(answer(b"x", b"other"))
+        writer.write(build_answer(b"x", b"other"))
 
     async def test(raw, targets):
         reply = await send(
-            targets, raw.make_target(), rawtarget.make_request(), ORDER
+            targets, raw.make_target(), rawtarget.make_request(), OPTIONS
         )
         assert reply.facts.mismatched
 
@@ -186,25 +186,25 @@
     # itself when a kept connection breaks before the answer.
     async def script(head, writer):
         if b"r1" in head:
-            writer.write(answer(b"ok"))
+            writer.write(build_answer(b"ok"))
         else:
             writer.close()
 
     async def test(raw, targets):
         target = raw.make_target()
         first = await send(
-            targets, target, rawtarget.make_request("r1"), ORDER
+            targets, target, rawtarget.make_request("r1"), OPTIONS
         )
         await read_all(first)
         with pytest.raises(ConnectionLostError):
-            await send(targets, target, rawtarget.make_request("x2"), ORDER)
+            await send(targets, target, rawtarget.make_request("x2"), OPTIONS)
         sent = [head for head in raw.requests if b"x2" in head]
         assert len(sent) == 1
 
     run(script, test)
 
 
-def test_refused_connection_proves_that_nothing_was_sent():
+def test_refused_connection_means_not_sent():
     async def script(head, writer):
         raise AssertionError("not reached")
 
@@ -212,7 +212,7 @@
         target = raw.make_target()
         await raw.__aexit__()
         with pytest.raises(NotSentError):
-            await send(targets, target, rawtarget.make_request(), ORDER)
+            await send(targets, target, rawtarget.make_request(), OPTIONS)
 
     run(script, test)
 
@@ -226,16 +226,18 @@
         (500, b"", False, None),
     ],
 )
-def test_only_the_target_itself_proves_that_it_did_not_run(
+def test_only_the_header_proves_that_a_request_did_not_run(
     status, extra, not_run, other
 ):
     async def script(head, writer):
-        text = answer(b"", extra=extra).replace(b"200", b"%d" % status, 1)
+        text = build_answer(b"", extra=extra).replace(
+            b"200", b"%d" % status, 1
+        )
         writer.write(text)
 
     async def test(raw, targets):
         reply = await send(
-            targets, raw.make_target(), rawtarget.make_request(), ORDER
+            targets, raw.make_target(), rawtarget.make_request(), OPTIONS
         )
         await read_all(reply)
         assert reply.facts.not_run is not_run
@@ -256,7 +258,7 @@
 )
 def test_outcome_of_a_copy(status, body, outcome, handle):
     async def script(head, writer):
-        text = answer(body).replace(b"200", b"%d" % status, 1)
+        text = build_answer(body).replace(b"200", b"%d" % status, 1)
         writer.write(text)
 
     async def test(raw, targets):
@@ -267,7 +269,7 @@
     run(script, test)
 
 
-def test_order_to_a_target_that_is_gone_was_not_sent():
+def test_move_to_an_unreachable_target_is_not_sent():
     async def script(head, writer):
         raise AssertionError("not reached")
 
@@ -280,7 +282,7 @@
     run(script, test)
 
 
-def test_order_whose_connection_breaks_may_have_been_obeyed():
+def test_move_whose_connection_breaks_has_failed():
     async def script(head, writer):
         writer.close()
 
@@ -300,14 +302,14 @@
         (b"Connection: close\r\n\r\nok", False),
     ],
 )
-def test_answer_tells_whether_its_end_has_a_frame(head, framed):
+def test_answer_tells_whether_its_body_is_framed(head, framed):
     async def script(_, writer):
         writer.write(b"HTTP/1.1 200 OK\r\n" + head)
         writer.close()
 
     async def test(raw, targets):
         reply = await send(
-            targets, raw.make_target(), rawtarget.make_request(), ORDER
+            targets, raw.make_target(), rawtarget.make_request(), OPTIONS
         )
         assert await read_all(reply) == b"ok"
         assert reply.framed is framed
@@ -315,18 +317,18 @@
     run(script, test)
 
 
-def test_generation_goes_on_from_a_copy():
+def test_generation_is_resumed_from_a_copy():
     async def script(head, writer):
-        writer.write(answer(b"ok"))
+        writer.write(build_answer(b"ok"))
 
     async def test(raw, targets):
-        order = SendOptions(
+        options = SendOptions(
             seconds=1.0,
             origin=KvOrigin("10.0.0.1:80", "h1"),
             after_event="7",
         )
         reply = await send(
-            targets, raw.make_target(), rawtarget.make_request(), order
+            targets, raw.make_target(), rawtarget.make_request(), options
         )
         await read_all(reply)
         lines = raw.requests[0].decode().split("\r\n")
@@ -349,7 +351,7 @@
 )
 def test_outcome_of_a_reservation(status, body, handle):
     async def script(head, writer):
-        text = answer(body).replace(b"200", b"%d" % status, 1)
+        text = build_answer(body).replace(b"200", b"%d" % status, 1)
         writer.write(text)
 
     async def test(raw, targets):
@@ -360,7 +362,7 @@
     run(script, test)
 
 
-def test_reservation_at_a_target_that_is_gone():
+def test_reservation_at_an_unreachable_target_is_not_sent():
     async def script(head, writer):
         writer.close()
 
@@ -371,9 +373,9 @@
     run(script, test)
 
 
-def test_copy_that_is_not_used_is_freed_by_its_name():
+def test_unused_copy_is_freed_by_its_handle():
     async def script(head, writer):
-        writer.write(answer(b"{}"))
+        writer.write(build_answer(b"{}"))
 
     async def test(raw, targets):
         assert await drop(targets, raw.make_target(), "h1")
@@ -383,7 +385,7 @@
     run(script, test)
 
 
-def test_target_that_is_gone_frees_nothing():
+def test_unreachable_target_does_not_confirm_a_free():
     async def script(head, writer):
         writer.close()
 
@@ -393,39 +395,43 @@
     run(script, test)
 
 
-def test_request_that_may_run_once_is_not_lost_with_a_rested_connection():
+def test_non_idempotent_request_avoids_long_idle_connections():
     # A call was lost with a connection that its target had dropped.
     async def script(head, writer):
         if len(raws[0].requests) == 1:
-            writer.write(answer(b"ok"))
+            writer.write(build_answer(b"ok"))
         elif raws[0].connections == 1:
             rawtarget.reset(writer)
         else:
-            writer.write(answer(b"again"))
+            writer.write(build_answer(b"again"))
 
     raws = []
 
     async def test(raw, targets):
         raws.append(raw)
         target = raw.make_target()
-        first = await send(targets, target, rawtarget.make_request(), ONCE)
+        first = await send(
+            targets, target, rawtarget.make_request(), ONCE_OPTIONS
+        )
         assert await read_all(first) == b"ok"
         await asyncio.sleep(0.3)
-        second = await send(targets, target, rawtarget.make_request(), ONCE)
+        second = await send(
+            targets, target, rawtarget.make_request(), ONCE_OPTIONS
+        )
         assert await read_all(second) == b"again"
 
     run(script, test)
 
 
-def test_request_that_may_run_again_keeps_its_rested_connection():
+def test_retryable_request_reuses_an_idle_connection():
     async def script(head, writer):
-        writer.write(answer(b"ok"))
+        writer.write(build_answer(b"ok"))
 
     async def test(raw, targets):
         target = raw.make_target()
         for _ in range(2):
             reply = await send(
-                targets, target, rawtarget.make_request(), ORDER
+                targets, target, rawtarget.make_request(), OPTIONS
             )
             assert await read_all(reply) == b"ok"
             await asyncio.sleep(0.3)
@@ -434,14 +440,14 @@
     run(script, test)
 
 
-def test_generation_goes_on_the_connection_of_its_reservation():
+def test_generation_reuses_the_connection_of_its_reservation():
     # A connection for each would double what targets spend on new ones.
     async def script(head, writer):
         if head.startswith(b"POST /chivepier/hold-take"):
             await raws[0].reader.readuntil(b"}")
-            writer.write(answer(b'{"hold": "h1"}'))
+            writer.write(build_answer(b'{"hold": "h1"}'))
         else:
-            writer.write(answer(b"ok"))
+            writer.write(build_answer(b"ok"))
 
     raws = []
 
@@ -449,22 +455,24 @@
         raws.append(raw)
         target = raw.make_target()
         assert await reserve(targets, target, 100, 1.0) == "h1"
-        reply = await send(targets, target, rawtarget.make_request(), ONCE)
+        reply = await send(
+            targets, target, rawtarget.make_request(), ONCE_OPTIONS
+        )
         assert await read_all(reply) == b"ok"
         assert raw.connections == 1
 
     run(script, test)
 
 
-def test_idle_connections_to_a_target_that_started_again_are_ended():
+def test_idle_connections_to_a_restarted_target_are_closed():
     async def script(head, writer):
-        writer.write(answer(b"ok"))
+        writer.write(build_answer(b"ok"))
 
     async def test(raw, targets):
         target = raw.make_target()
         for connections in (1, 2):
             reply = await send(
-                targets, target, rawtarget.make_request(), ORDER
+                targets, target, rawtarget.make_request(), OPTIONS
             )
             assert await read_all(reply) == b"ok"
             assert raw.connections == connections
@@ -473,7 +481,7 @@
     run(script, test)
 
 
-class Forbidden(Free):
+class ForbiddingExchange(RecordingExchange):
     """A contact that must not begin."""
 
     def begin(self) -> None:
@@ -482,34 +490,34 @@
 
 
 CALLS = {
-    "send": lambda targets, target, contact: targets.send(
-        target, rawtarget.make_request(), ORDER, contact
+    "send": lambda targets, target, exchange: targets.send(
+        target, rawtarget.make_request(), OPTIONS, exchange
     ),
-    "reserve": lambda targets, target, contact: targets.reserve(
-        target, 100, 1.0, contact
+    "reserve": lambda targets, target, exchange: targets.reserve(
+        target, 100, 1.0, exchange
     ),
-    "move": lambda targets, target, contact: targets.move(
-        target, "r1", target, True, 1.0, contact
+    "move": lambda targets, target, exchange: targets.move(
+        target, "r1", target, True, 1.0, exchange
     ),
-    "drop": lambda targets, target, contact: targets.drop(
-        target, "h1", contact
+    "drop": lambda targets, target, exchange: targets.drop(
+        target, "h1", exchange
     ),
 }
 
 
 @pytest.mark.parametrize("kind", CALLS)
-def test_nothing_is_sent_on_a_contact_that_must_not_begin(kind):
+def test_nothing_is_sent_on_a_forbidden_exchange(kind):
     # What was decided before a connection stood went out after it.
     async def script(head, writer):
-        writer.write(answer(b"{}"))
+        writer.write(build_answer(b"{}"))
 
     async def test(raw, targets):
         target = raw.make_target()
         for _ in range(2):
             with pytest.raises(NotPermittedError):
-                await CALLS[kind](targets, target, Forbidden())
+                await CALLS[kind](targets, target, ForbiddingExchange())
         assert raw.requests == []
-        await CALLS[kind](targets, target, Free())
+        await CALLS[kind](targets, target, RecordingExchange())
         # the connection that stood for nothing serves the next call
         assert (len(raw.requests), raw.connections) == (1, 1)
 
@@ -517,16 +525,16 @@
 
 
 @pytest.mark.parametrize("kind", CALLS)
-def test_each_call_hears_what_its_answer_says(kind):
-    words = b"Retry-After: 2\r\nServer-Leaving: 1\r\n"
+def test_each_call_records_the_head_of_its_answer(kind):
+    headers = b"Retry-After: 2\r\nServer-Leaving: 1\r\n"
 
     async def script(head, writer):
-        writer.write(answer(b"{}", extra=words, status=FULL))
+        writer.write(build_answer(b"{}", extra=headers, status=UNAVAILABLE))
 
     async def test(raw, targets):
-        contact = Free()
-        await CALLS[kind](targets, raw.make_target(), contact)
-        (facts,) = contact.heard
+        exchange = RecordingExchange()
+        await CALLS[kind](targets, raw.make_target(), exchange)
+        (facts,) = exchange.heads
         assert (facts.rest, facts.leaving) == (RequestedBackoff(2.0), True)
 
     run(script, test)
