--- a/tests/adapter/conftest.py
+++ b/tests/adapter/conftest.py
@@ -1,7 +1,7 @@
-"""Puts the adapter on the path, as its program does by where it lies.
+"""Adds the folder of the adapter to the import path, as its program does.
 
-The tests lie here because their folder's name would be taken for the
-standard module ``platform`` when they are collected.
+The tests are not in ``platform/`` because pytest would import that folder in
+place of the standard module ``platform``.
 """
 
 import pathlib
--- a/tests/adapter/exchange.py
+++ b/tests/adapter/exchange.py
@@ -1,4 +1,4 @@
-"""One exchange of a test with a target that follows a script."""
+"""Helpers that call a scripted target with the HTTP client."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
     extra: bytes = b"",
     status: bytes = b"200 OK",
 ) -> bytes:
-    """Build a whole answer."""
+    """Build a complete answer."""
     return (
         b"HTTP/1.1 %s\r\nX-Chivepier-Request-Id: %s\r\n%s"
         b"Content-Length: %d\r\n\r\n%s"
@@ -35,42 +35,42 @@
 
 
 class RecordingExchange:
-    """A contact that may begin; notes what it hears."""
+    """Allows every request and records the heads of answers."""
 
     def __init__(self):
         self.heads: list = []
 
     def begin(self) -> None:
-        """Allow everything."""
+        """Allow the request."""
 
     def record_head(self, facts) -> None:
-        """Note an answer's head."""
+        """Record the metadata of an answer's head."""
         self.heads.append(facts)
 
 
 def send(targets, target, request, options):
-    """Send a request that may go."""
+    """Send a request without restrictions."""
     return targets.send(target, request, options, RecordingExchange())
 
 
 def reserve(targets, target, tokens, seconds):
-    """Reserve room at a target that may be asked."""
+    """Reserve a slot and KV cache without restrictions."""
     return targets.reserve(target, tokens, seconds, RecordingExchange())
 
 
 def move(targets, source, request_id, destination, last, seconds):
-    """Move a run whose target may be asked."""
+    """Copy the KV cache of a run without restrictions."""
     work = (source, request_id, destination, last, seconds)
     return targets.move(*work, RecordingExchange())
 
 
 def drop(targets, target, handle):
-    """Free a copy at a target that may be asked."""
+    """Free a copy without restrictions."""
     return targets.drop(target, handle, RecordingExchange())
 
 
 def run(script, test):
-    """Run a test against a target that follows a script."""
+    """Run a test against a scripted target."""
 
     async def work():
         async with rawtarget.RawTarget(
--- a/tests/adapter/rawtarget.py
+++ b/tests/adapter/rawtarget.py
@@ -1,4 +1,4 @@
-"""A target whose bytes a test decides."""
+"""Scripted target that answers with bytes of the test's choice."""
 
 import asyncio
 import collections.abc
@@ -15,7 +15,7 @@
 
 
 class RawTarget:
-    """Reads one request at a time and hands it to the test's script."""
+    """Passes the head of each request to the script of a test."""
 
     def __init__(self, script: Script):
         self._script = script
@@ -48,7 +48,7 @@
             writer.close()
 
     def make_target(self) -> Target:
-        """Describe it as an announced target."""
+        """Return the target as it would be announced."""
         return Target(
             instance="i1",
             service="s",
@@ -62,7 +62,7 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """End a connection by a reset, not by an orderly close."""
+    """Reset a connection instead of closing it."""
     sock = writer.get_extra_info("socket")
     option = struct.pack("ii", 1, 0)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, option)
@@ -70,7 +70,7 @@
 
 
 def make_request(request_id: str = "r1", method: str = "GET") -> CallerRequest:
-    """Make a caller's request without a body."""
+    """Build a caller's request without a body."""
     return CallerRequest(
         id=request_id,
         method=method,
--- a/tests/adapter/test_announcement.py
+++ b/tests/adapter/test_announcement.py
@@ -1,4 +1,4 @@
-"""Tests of reading what targets say of themselves."""
+"""Tests of decoding targets' announcements."""
 
 import json
 
@@ -25,7 +25,7 @@
     "born": 1700000000000,
 }
 REQUIRED_FIELDS = ("service", "address", "slots", "state", "seq")
-# What another writer may put in place of a value.
+# Values that a writer other than a target may send.
 ARBITRARY_VALUES = strategies.one_of(
     strategies.none(),
     strategies.booleans(),
@@ -38,7 +38,7 @@
 
 
 def decode(fields, instance="i-1") -> Target:
-    """Read an announcement of a plain object."""
+    """Decode an announcement with the given fields or body."""
     body = fields if isinstance(fields, bytes) else json.dumps(fields).encode()
     return decode_announcement(instance, body, 100.0)
 
@@ -63,8 +63,8 @@
         decode(fields)
 
 
-# An unknown state counted as ready, true as the number one, and not-a-number
-# as a time: callers' requests went to an address of another writer.
+# Unknown states counted as ready, true as 1 and NaN as a time, so requests
+# went to addresses that writers other than targets had announced.
 @pytest.mark.parametrize(
     "name,value",
     [
--- a/tests/adapter/test_callers.py
+++ b/tests/adapter/test_callers.py
@@ -1,4 +1,4 @@
-"""Tests of the protocol towards callers, over a whole entry."""
+"""Tests of the HTTP server for callers with a complete entry."""
 
 import asyncio
 import contextlib
@@ -48,7 +48,7 @@
 
 
 class EntryFixture:
-    """An entry on loopback before one scripted target."""
+    """Runs an entry on loopback with one scripted target."""
 
     def __init__(self, script, body_bytes: int = 32 << 20):
         self._body_bytes = body_bytes
@@ -95,12 +95,12 @@
         await self._stack.aclose()
 
     def configure(self, **changes) -> None:
-        """Put a configuration in force."""
+        """Apply a configuration with changes."""
         body = json.dumps({**CONFIG, **changes}).encode()
         self.entry.state.adopt(RouteIndex(decode_config(body)))
 
     async def send(self, data: bytes, port: int | None = None) -> bytes:
-        """Send bytes and read until the entry closes."""
+        """Send bytes and read until the entry closes the connection."""
         reader, writer = await asyncio.open_connection(
             "127.0.0.1", port or self.port
         )
@@ -112,7 +112,7 @@
 
 
 def build_request(path: str, *lines: str, body: bytes = b"") -> bytes:
-    """Write a call that asks for the connection to be closed."""
+    """Build a request that closes its connection."""
     head = [
         f"POST {path} HTTP/1.1",
         "Host: h.example",
@@ -126,7 +126,7 @@
 
 
 def run(script, test, configured: bool = True, **options):
-    """Run a test before a target that follows a script."""
+    """Run a test with an entry and a scripted target."""
 
     async def work():
         async with asyncio.timeout(15), EntryFixture(
@@ -140,12 +140,12 @@
 
 
 def read_status(answer: bytes) -> int:
-    """Return an answer's status."""
+    """Parse the status of an answer."""
     return int(answer.split(b" ")[1])
 
 
 async def answer_ok(head, writer):
-    """Answer every request."""
+    """Answer every request with success."""
     writer.write(
         b"HTTP/1.1 200 OK\r\nX-Chivepier-Request-Id: r1\r\n"
         b"X-Chivepier-Server-Stamp: s1\r\nContent-Length: 2\r\n\r\nok"
@@ -166,8 +166,8 @@
 
 
 def test_backoff_requested_before_a_restart_is_announced_applies():
-    # A target that had started again asked for rest, and was sent more as
-    # soon as its announcement came: the rest counted as its earlier life's.
+    # A restarted target requested a backoff before its announcement arrived.
+    # The backoff was attributed to its earlier incarnation and ignored.
     async def refuse(head, writer):
         writer.write(
             b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 20\r\n"
@@ -200,8 +200,8 @@
 
 
 def test_internal_headers_of_callers_are_removed():
-    # A team could act as another one, or take memory that is another's: it
-    # sent the headers by which this system speaks to targets.
+    # With these headers in its requests, a team could act as another team or
+    # use a KV cache of another.
     internal_headers = {
         "X-Chivepier-Tenant": "t9",
         "X-Chivepier-Hold": "h",
@@ -264,7 +264,7 @@
 
 
 def test_buffered_bodies_are_limited_in_total():
-    # Many bodies at once ended one instance after the other.
+    # Many bodies at once exhausted the memory of one instance after another.
     async def test(fixture):
         size = 1_000
         head = build_request("/once/x").replace(
@@ -299,8 +299,8 @@
 
 
 def test_incomplete_body_releases_its_memory_at_the_deadline():
-    # Callers sent half of a body and then nothing. Each kept its part of the
-    # memory for bodies until it left, and in the end nobody else had any.
+    # Callers that sent half of a body and then nothing kept their memory until
+    # they disconnected, which left none for others.
     async def test(fixture):
         request = build_request("/once/x", "X-Chivepier-Deadline-Ms: 100")
         request = request.replace(b"Content-Length: 0", b"Content-Length: 900")
@@ -327,8 +327,8 @@
 
 
 def test_request_smuggling_is_rejected():
-    # Two lengths that differ: a target that believed the other one would
-    # run what stands in the body as a request of its own.
+    # With two conflicting body lengths, a target that uses the other one would
+    # run the content of the body as a separate request.
     async def test(fixture):
         request = build_request(
             "/once/x", "Transfer-Encoding: chunked", body=b"0"
@@ -340,7 +340,7 @@
 
 
 def test_lost_request_is_not_reported_as_not_run():
-    # 503 would promise that the request has not run; it may have.
+    # 503 would state that the request did not run, but it may have.
     async def script(head, writer):
         writer.close()
 
@@ -393,7 +393,7 @@
 
 
 def test_disconnect_of_a_caller_cancels_its_request():
-    # Targets went on with work for callers that had gone.
+    # Targets continued to run requests of callers that had disconnected.
     disconnected = asyncio.Event()
     fixtures = []
 
@@ -441,7 +441,7 @@
 
 
 def test_stopping_entry_rejects_requests_it_could_not_finish():
-    # What came just before the end of a stopped entry was cut.
+    # Requests that arrived just before a stopping entry ended were cut off.
     release = asyncio.Event()
 
     async def script(head, writer):
@@ -467,7 +467,7 @@
 
 
 def test_idle_timeout_is_taken_from_the_configuration():
-    # Connections were closed within the idle time of the configuration.
+    # Idle connections were closed before the configured timeout.
     async def test(fixture):
         limits = {"idle-timeout-ms": 200}
         fixture.configure(version=CONFIG_FIELDS["version"] + 1, limits=limits)
@@ -489,7 +489,7 @@
 
 @pytest.mark.parametrize("limits,status", [({}, 400), (None, 200)])
 def test_header_limit_is_taken_from_the_configuration(limits, status):
-    # A header of 20 KB was refused though the configuration allows 32 KB.
+    # A header of 20 KB was rejected although the configuration allows 32 KB.
     if limits is None:
         limits = {"max-header-bytes": 32768}
 
--- a/tests/adapter/test_configcodec.py
+++ b/tests/adapter/test_configcodec.py
@@ -1,4 +1,4 @@
-"""Tests of reading the operator's configuration."""
+"""Tests of decoding the operator's configuration."""
 
 import copy
 import json
@@ -76,7 +76,7 @@
 
 
 def decode(change=None):
-    """Decode the plain configuration after a change."""
+    """Decode the base configuration after a change."""
     fields = copy.deepcopy(CONFIG_FIELDS)
     if change is not None:
         change(fields)
@@ -97,7 +97,7 @@
     engine = found.services[0].engine
     assert (engine.slots, engine.memory_tokens) == (24, 34231)
     assert engine.event_tokens == 4 and engine.moves
-    # 262,144 bytes over 38 gigabits a second
+    # 262,144 bytes at 38 gigabits per second
     assert round(engine.token_seconds * 1e6, 1) == 55.2
     assert found.services[1].engine is None
     assert found.limits.body_bytes == 1000
--- a/tests/adapter/test_control.py
+++ b/tests/adapter/test_control.py
@@ -1,4 +1,4 @@
-"""Tests of what targets, operators and callers ask of a voter."""
+"""Tests of a voter's HTTP server."""
 
 import asyncio
 import json
@@ -29,9 +29,9 @@
 
 
 def run(test, folder, **changes):
-    """Run a test with a lone voter and a client.
+    """Run a test with a single voter and a client.
 
-    :param changes: of the voter's settings
+    :param changes: additional settings of the voter
     """
 
     async def work():
@@ -61,7 +61,7 @@
 
 
 async def put_config(client, fields) -> int:
-    """Send a configuration until the answer is clear."""
+    """Send a configuration until the status is not 503."""
     while True:
         body = fields if isinstance(fields, bytes) else json.dumps(fields)
         async with client.put("/chivepier/config", data=body) as answer:
--- a/tests/adapter/test_heads.py
+++ b/tests/adapter/test_heads.py
@@ -1,4 +1,4 @@
-"""Tests of what is read of the heads of targets' answers."""
+"""Tests of parsing the heads of targets' answers."""
 
 import pytest
 
@@ -133,7 +133,7 @@
 
 
 def test_unknown_header_is_reported_by_name():
-    # Targets named a limit for months before anybody knew of it.
+    # Targets sent a rate limit for months in a header that nothing parsed.
     async def script(head, writer):
         writer.write(build_answer(b"ok", extra=b"Server-Wish: 3\r\n"))
 
--- a/tests/adapter/test_limits.py
+++ b/tests/adapter/test_limits.py
@@ -1,4 +1,4 @@
-"""Tests of what operators see of limits that targets name."""
+"""Tests of the rate limits in the operators' status."""
 
 import asyncio
 import json
--- a/tests/adapter/test_program.py
+++ b/tests/adapter/test_program.py
@@ -1,4 +1,4 @@
-"""Tests of the program: what a start loads, and what stops it at once."""
+"""Tests of the program's imports and of its errors at start."""
 
 import json
 import os
@@ -9,7 +9,7 @@
 import pytest
 
 PROGRAM = pathlib.Path(__file__).parents[2] / "platform" / "chivepierd.py"
-# A restart is silent until its modules are loaded.
+# Importing these would delay a restart, during which nothing is answered.
 FORBIDDEN_MODULES = {
     "entry": (
         "numpy",
@@ -55,7 +55,7 @@
 
 
 def run_program(role: str, settings: str | None):
-    """Run the program with a settings file and return how it ended."""
+    """Run the program with a settings file and return the ended process."""
     env = {k: v for k, v in os.environ.items() if k != "CHIVEPIER_BOOT"}
     if settings is not None:
         env["CHIVEPIER_BOOT"] = settings
--- a/tests/adapter/test_settings.py
+++ b/tests/adapter/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of the platform's settings file."""
+"""Tests of reading the platform's settings file."""
 
 import pytest
 
@@ -26,7 +26,7 @@
 
 
 def make_file(**changes) -> SettingsFile:
-    """Make a file's content, with names written with underscores."""
+    """Build a settings file; ``None`` removes a setting."""
     values = {**SETTINGS, **changes}
     return SettingsFile({k: v for k, v in values.items() if v is not None})
 
@@ -35,7 +35,7 @@
     entry = make_file().make_entry_settings()
     assert (entry.name, entry.zone) == ("front-1", "z1")
     assert entry.address == "10.1.0.19:8740"
-    # the seeds are where operators ask; peers listen at the first free port
+    # seeds are operator addresses; peers listen on the first port of the range
     assert entry.seeds == ("10.1.0.22:7200", "10.2.0.16:7200")
     assert (entry.beat, entry.grace) == (1.2, 8.0)
     assert entry.repeat_extra == 56
@@ -48,7 +48,7 @@
 
 
 def test_invalid_digest_prefixes_are_rejected():
-    # A head of two digits would keep out every request of a hundred.
+    # A prefix of two digits would block about one in 256 of all requests.
     entry = make_file().make_entry_settings(("0a1b0a1b0a1b",), ("ffffffff",))
     assert entry.orders.allows("0a1b0a1b0a1b22")
     assert entry.orders.blocks("ffffffff")
--- a/tests/adapter/test_targets.py
+++ b/tests/adapter/test_targets.py
@@ -1,4 +1,4 @@
-"""Tests of the protocol towards targets, against scripted bytes."""
+"""Tests of the HTTP client for targets against scripted answers."""
 
 import asyncio
 
@@ -64,8 +64,8 @@
 
 
 def test_probe_detects_a_process_that_is_ending():
-    # It took one more connection as it ended, and that one ended at once. A
-    # single look would say that it lives, and the request be sent on.
+    # An ending process accepts one more connection and closes it at once. A
+    # single probe would report it as alive, and the request would be resent.
     async def test():
         async def end(reader, writer):
             server.close()
@@ -82,7 +82,7 @@
 
 
 def test_reset_answer_without_length_is_incomplete():
-    # A reset passed for the end of an answer that names no length.
+    # A reset was taken for the end of an answer without a length.
     async def script(head, writer):
         writer.write(
             b"HTTP/1.1 200 OK\r\nX-Chivepier-Request-Id: r1\r\n"
@@ -137,7 +137,7 @@
 
 
 def test_unsolicited_answer_reaches_no_caller():
-    # The next caller got the last one's answer a second time.
+    # The next caller got a second copy of the previous caller's answer.
     released = asyncio.Event()
 
     async def script(head, writer):
@@ -182,8 +182,8 @@
 
 
 def test_request_is_not_sent_twice_by_the_library():
-    # A request that may run once ran twice: the library repeats a GET by
-    # itself when a kept connection breaks before the answer.
+    # The library resends a GET when a pooled connection breaks before the
+    # answer, so a request that may run only once ran twice.
     async def script(head, writer):
         if b"r1" in head:
             writer.write(build_answer(b"ok"))
@@ -396,7 +396,7 @@
 
 
 def test_non_idempotent_request_avoids_long_idle_connections():
-    # A call was lost with a connection that its target had dropped.
+    # A request was lost on a connection that the target had dropped.
     async def script(head, writer):
         if len(raws[0].requests) == 1:
             writer.write(build_answer(b"ok"))
@@ -441,7 +441,7 @@
 
 
 def test_generation_reuses_the_connection_of_its_reservation():
-    # A connection for each would double what targets spend on new ones.
+    # Separate connections would double the targets' cost of accepting them.
     async def script(head, writer):
         if head.startswith(b"POST /chivepier/hold-take"):
             await raws[0].reader.readuntil(b"}")
@@ -482,10 +482,10 @@
 
 
 class ForbiddingExchange(RecordingExchange):
-    """A contact that must not begin."""
+    """Refuses every request."""
 
     def begin(self) -> None:
-        """Refuse."""
+        """Refuse the request."""
         raise NotPermittedError("not now")
 
 
@@ -507,7 +507,8 @@
 
 @pytest.mark.parametrize("kind", CALLS)
 def test_nothing_is_sent_on_a_forbidden_exchange(kind):
-    # What was decided before a connection stood went out after it.
+    # Requests were sent on a decision made before the connection was
+    # established, which no longer held.
     async def script(head, writer):
         writer.write(build_answer(b"{}"))
 
@@ -518,7 +519,7 @@
                 await CALLS[kind](targets, target, ForbiddingExchange())
         assert raw.requests == []
         await CALLS[kind](targets, target, RecordingExchange())
-        # the connection that stood for nothing serves the next call
+        # the unused connection is reused by the next call
         assert (len(raw.requests), raw.connections) == (1, 1)
 
     run(script, test)
--- a/tests/adapter/test_zoneorders.py
+++ b/tests/adapter/test_zoneorders.py
@@ -1,4 +1,4 @@
-"""Tests of operators' orders about availability zones, and of regions."""
+"""Tests of evacuating availability zones, and of regions."""
 
 import asyncio
 import json
@@ -17,12 +17,12 @@
 
 
 def run(test, folder):
-    """Run a test with a lone voter that knows two zones, and a client."""
+    """Run a test with a single voter that has two zones, and a client."""
     run_voter(test, folder, regions={"z1": "north", "z2": "south"})
 
 
 async def request_order(client, method: str, zone: str) -> int:
-    """Send an order until the answer is clear."""
+    """Request an evacuation or its end until the status is not 503."""
     while True:
         async with client.request(method, PATH + zone) as answer:
             if answer.status != 503:
@@ -30,7 +30,7 @@
 
 
 def test_a_zone_is_evacuated_and_readmitted(tmp_path):
-    # An order whose answer was lost, sent again, was refused.
+    # A repeated order was refused after the answer to the first was lost.
     async def test(voter, client):
         assert await request_order(client, "POST", "z1") == 200
         assert await request_order(client, "POST", "z1") == 200
@@ -44,8 +44,8 @@
 
 
 def test_order_for_an_unknown_zone_is_refused(tmp_path):
-    # A misspelt name was taken and emptied nothing: the operator would take
-    # the zone's power away while callers were still being sent there.
+    # A misspelt name was accepted without effect, so an operator could shut a
+    # zone down while callers were still sent there.
     async def test(voter, client):
         for zone in ("z3", "%20", "z" * 300):
             assert await request_order(client, "POST", zone) == 400
@@ -54,14 +54,14 @@
         announcement = {**ANNOUNCEMENT, "zone": "z3"}
         async with client.put("/chivepier/instances/i-2", json=announcement):
             pass
-        # a target has named it since
+        # the zone is known once a target has announced it
         assert await request_order(client, "POST", "z3") == 200
 
     run(test, tmp_path)
 
 
 def test_command_line_evacuates_and_readmits_zones(tmp_path):
-    # The command runs in a thread of its own, as it waits for its answers.
+    # The command blocks while it waits for answers, so it runs in a thread.
     async def test(voter, client):
         address = str(client._base_url.authority)
 
@@ -70,7 +70,7 @@
             return CliRunner().invoke(main, [*options, *words]).output
 
         while not await voter.orders.submit("z2", False):
-            # until a leader is elected
+            # wait until a leader is elected
             await asyncio.sleep(0.01)
         assert "z1 is evacuated" in await asyncio.to_thread(
             run_command, "evacuate", "z1"
@@ -120,8 +120,8 @@
 
 
 def test_look_ups_survive_an_undecodable_configuration(tmp_path):
-    # A voter of another release took it. Each look-up of this one raised,
-    # and its callers were given no address.
+    # A voter of another release stored the configuration. Each look-up at
+    # this one raised, so callers got no addresses.
     async def test(voter, client):
         while not await voter.store.write(3, b'{"allowed-regions'):
             await asyncio.sleep(0.01)
@@ -133,7 +133,7 @@
                 if answer.status == 200:
                     fields = await answer.json()
                     break
-                # silent for a moment after its start
+                # a voter answers no look-ups right after its start
                 assert answer.status == 503
         assert fields["addresses"] == ["10.0.0.9:80"]
 
@@ -141,9 +141,9 @@
 
 
 class FakeLink:
-    """An entry's link that is there."""
+    """Open link to an entry that ignores messages."""
 
     closed = False
 
     def send(self, message) -> None:
-        """Take a push."""
+        """Ignore a message."""
