--- a/tests/adapter/rawtarget.py
+++ b/tests/adapter/rawtarget.py
@@ -1,4 +1,4 @@
-"""A target whose bytes a test decides."""
+"""Scripted target that answers with bytes of the test's choice."""
 
 import asyncio
 import collections.abc
@@ -15,7 +15,7 @@
 
 
 class RawTarget:
-    """Reads one request at a time and hands it to the test's script."""
+    """Passes the head of each request to the script of a test."""
 
     def __init__(self, script: Script):
         self._script = script
@@ -48,7 +48,7 @@
             writer.close()
 
     def make_target(self) -> Target:
-        """Describe it as an announced target."""
+        """Return the target as it would be announced."""
         return Target(
             instance="i1",
             service="s",
@@ -62,22 +62,22 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """End a connection by a reset, not by an orderly close."""
+    """Reset a connection instead of closing it."""
     sock = writer.get_extra_info("socket")
     option = struct.pack("ii", 1, 0)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, option)
     writer.transport.abort()
 
 
-def make_request(identity: str = "r1", method: str = "GET") -> CallerRequest:
-    """Make a caller's request without a body."""
+def make_request(request_id: str = "r1", method: str = "GET") -> CallerRequest:
+    """Build a caller's request without a body."""
     return CallerRequest(
-        id=identity,
+        id=request_id,
         method=method,
         url="/a/b?c=%20d",
         path="/a/b",
         host="h.example",
-        headers=(("X-Chivepier-Request-Id", identity),),
+        headers=(("X-Chivepier-Request-Id", request_id),),
         body=b"",
         key=None,
         arrived=0.0,
