--- a/packages/gateway/src/chivepier/gateway/control/quarantinerelay.py
+++ b/packages/gateway/src/chivepier/gateway/control/quarantinerelay.py
@@ -5,7 +5,7 @@
 from chivepier.gateway.eventlog import EventLog
 from chivepier.gateway.messages import EntryBeat
 from chivepier.gateway.messages import QuarantineNotice
-from chivepier.gateway.quarantine import Ledger
+from chivepier.gateway.quarantine import CrashLedger
 from chivepier.gateway.quarantine import pack_records
 from chivepier.gateway.quarantine import shorten
 from chivepier.gateway.quarantine import unpack_records
@@ -28,7 +28,7 @@
         clock: Clock,
         log: EventLog,
     ):
-        self.ledger = Ledger()
+        self.ledger = CrashLedger()
         self._channels = channels
         self._clock = clock
         self._log = log
--- a/packages/gateway/src/chivepier/gateway/control/statecache.py
+++ b/packages/gateway/src/chivepier/gateway/control/statecache.py
@@ -11,9 +11,9 @@
 from chivepier.gateway.following import pack_target
 from chivepier.gateway.following import unpack_target
 from chivepier.gateway.messages import TargetRecord
+from chivepier.gateway.quarantine import CrashLedger
 from chivepier.gateway.quarantine import Ending
 from chivepier.gateway.quarantine import Incarnation
-from chivepier.gateway.quarantine import Ledger
 from chivepier.gateway.targets import TargetTable
 from chivepier.gateway.zones import ZoneOrder
 from chivepier.state import DamagedError
@@ -49,7 +49,7 @@
         self,
         folder: pathlib.Path,
         table: TargetTable,
-        ledger: Ledger,
+        ledger: CrashLedger,
         clock: Clock,
         log: EventLog,
     ):
--- a/packages/gateway/src/chivepier/gateway/control/tests/fleet.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/fleet.py
@@ -89,7 +89,7 @@
             limits=self.limits,
             bound=ColdBound(),
             ask=self._ask_permit,
-            own=FallbackLimiter(random.Random(name)),
+            fallback=FallbackLimiter(random.Random(name)),
             count_entries=lambda: self.state.entries,
             clock=clock,
             log=log,
@@ -194,12 +194,12 @@
             digest=digest,
             team="t1",
             target=target,
-            sent=now,
-            begun=None,
-            broke=True,
-            at=now,
+            sent_at=now,
+            first_event_at=None,
+            disconnected=True,
+            lost_at=now,
         )
-        self.quarantine.note_loss(loss)
+        self.quarantine.note_lost(loss)
 
     def is_quarantined(self, digest: str) -> bool:
         """Tell whether this entry quarantines a request."""
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_quarantinerelay.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_quarantinerelay.py
@@ -6,7 +6,7 @@
 
 from chivepier.gateway.control.tests.fleet import play
 from chivepier.gateway.control.tests.fleet import wait_until
-from chivepier.gateway.quarantine import Ledger
+from chivepier.gateway.quarantine import CrashLedger
 
 
 async def crash_three_targets(followers) -> None:
@@ -127,7 +127,7 @@
         await wait_until(lambda: hub.ledger.suspects)
         # a pending answer would acknowledge the old ledger's records
         beat = await followers[0].finish_beats()
-        hub.ledger = Ledger()
+        hub.ledger = CrashLedger()
         state = following._voters[address]
         state.epoch, state.confirmed = "before", 3
         await asyncio.gather(beat(address, state), beat(address, state))
--- a/packages/gateway/src/chivepier/gateway/permits/sendlimiter.py
+++ b/packages/gateway/src/chivepier/gateway/permits/sendlimiter.py
@@ -56,7 +56,7 @@
     :param limits: rate limits that targets announced
     :param bound: send limit of cold targets over all entries
     :param ask: sends one permit request to the leader
-    :param own: limiter of this entry for times without a leader
+    :param fallback: limiter of this entry for times without a leader
     :param count_entries: returns the number of known entries
     :param clock: source of monotonic time
     :param log: event log of this process
@@ -70,7 +70,7 @@
         limits: LimitTable,
         bound: ColdBound,
         ask: Ask,
-        own: FallbackLimiter,
+        fallback: FallbackLimiter,
         count_entries: collections.abc.Callable[[], int],
         clock: Clock,
         log: EventLog,
@@ -79,8 +79,8 @@
         self._zones = zones
         self._limits = limits
         self._bound = bound
-        self._leader = PermitClient(ask, clock)
-        self._fallback = own
+        self._client = PermitClient(ask, clock)
+        self._fallback = fallback
         self._count_entries = count_entries
         self._clock = clock
         self._log = log
@@ -107,7 +107,7 @@
         readmitted = self._zones.find_readmission(target.zone)
         return readmitted is not None and target.announced_at < readmitted
 
-    def find_limit(self, target: Target) -> float | None:
+    def find_rate(self, target: Target) -> float | None:
         """Return a target's rate limit over all entries, or None."""
         return self._limits.find_rate(target.instance, target.born)
 
@@ -116,7 +116,7 @@
         """Whether any target is rate-limited; usually none is."""
         return bool(self._limits)
 
-    def find_limits(
+    def find_rates(
         self, targets: collections.abc.Iterable[Target]
     ) -> dict[str, float]:
         """Return the rate limits of those targets that have one.
@@ -126,9 +126,7 @@
         """
         if not self.has_limits:
             return {}
-        rates = {
-            target.instance: self.find_limit(target) for target in targets
-        }
+        rates = {target.instance: self.find_rate(target) for target in targets}
         return {name: rate for name, rate in rates.items() if rate is not None}
 
     def find_backoff(self, target: Target, claim: Claim) -> float | None:
@@ -138,7 +136,7 @@
         :param claim: the claim of the request
         :returns: ``None`` if it may be made now
         """
-        if self.find_limit(target) is None:
+        if self.find_rate(target) is None:
             return None
         return self._backoffs.find_remaining(
             target, claim, self._clock.monotonic()
@@ -156,14 +154,14 @@
         """
         now = self._clock.monotonic()
         cold = self.is_cold(service, target, now)
-        rate = self.find_limit(target)
+        rate = self.find_rate(target)
         if not cold and rate is None:
             return Permit()
         if rate is None:
             # cold targets are not scheduled by team or urgency
             claim = Claim()
         key = make_key(target, claim)
-        kept = self._leader.take_unused(key)
+        kept = self._client.take_unused(key)
         if kept is not None:
             return kept
         if self._backoffs.find_remaining(target, claim, now) is not None:
@@ -172,19 +170,19 @@
             now < self._late_answer_until or self._is_leader_unanswered(now)
         ):
             return None
-        turn = await self._claim(service, target, claim, rate, cold)
-        if not turn.granted:
-            self._backoffs.record(target, claim, now + turn.wait)
-            self._note_refused(target, rate, turn.wait)
+        decision = await self._claim(service, target, claim, rate, cold)
+        if not decision.granted:
+            self._backoffs.record(target, claim, now + decision.wait)
+            self._note_refused(target, rate, decision.wait)
             return None
-        if turn.wait:
-            await self._clock.sleep(turn.wait)
+        if decision.wait:
+            await self._clock.sleep(decision.wait)
         return Permit(
-            now + turn.wait + max(PERMIT_SECONDS, turn.permit_seconds)
+            now + decision.wait + max(PERMIT_SECONDS, decision.permit_seconds)
         )
 
     def _is_leader_unanswered(self, now: float) -> bool:
-        return now - self._leader.last_unanswered_at < LEADER_BACKOFF_SECONDS
+        return now - self._client.last_unanswered_at < LEADER_BACKOFF_SECONDS
 
     async def _claim(
         self,
@@ -207,7 +205,7 @@
             0.0 if cold else claim.max_wait,
         )
         key = make_key(target, claim)
-        pending, answer = await self._leader.ask(key, request)
+        pending, answer = await self._client.ask(key, request)
         if answer is None:
             # a late answer can still serve the next request
             self._late_answer_until = now + LEADER_BACKOFF_SECONDS
@@ -233,11 +231,11 @@
         self._metrics.note_permit(kind, answer)
 
     def _read_answer(
-        self, answer: PermitAnswer, rate: float | None, lapse: float
+        self, answer: PermitAnswer, rate: float | None, permit_seconds: float
     ) -> SendDecision:
         self._count(rate, "granted" if answer.granted else "refused")
         if answer.granted:
-            return SendDecision(True, answer.wait, lapse)
+            return SendDecision(True, answer.wait, permit_seconds)
         return SendDecision(False, answer.wait or REFUSAL_BACKOFF_SECONDS)
 
     def _claim_locally(
@@ -254,14 +252,14 @@
             self._fallback.reset(entries)
             self._log.warn("limits_kept_alone", entries=entries)
         now = self._clock.monotonic()
-        turn = self._fallback.acquire(target.instance, rate, claim, now)
+        decision = self._fallback.acquire(target.instance, rate, claim, now)
         self._metrics.note_permit(
-            "limit", "own_part" if turn.granted else "refused_alone"
+            "limit", "own_part" if decision.granted else "refused_alone"
         )
-        if turn.granted:
-            return turn
+        if decision.granted:
+            return decision
         # the next local turn may be minutes away; a leader may return earlier
-        return SendDecision(False, min(turn.wait, LEADER_BACKOFF_SECONDS))
+        return SendDecision(False, min(decision.wait, LEADER_BACKOFF_SECONDS))
 
     def _note_refused(
         self, target: Target, rate: float | None, wait: float
--- a/packages/gateway/src/chivepier/gateway/permits/slidingwindowlimiter.py
+++ b/packages/gateway/src/chivepier/gateway/permits/slidingwindowlimiter.py
@@ -30,22 +30,22 @@
     def acquire(
         self,
         instance: str,
-        most: int,
+        max_sends: int,
         now: float,
-        lapse: float = PERMIT_SECONDS,
+        permit_seconds: float = PERMIT_SECONDS,
     ) -> bool:
         """Permit one send if the window of the target is not full.
 
         :param instance: name of the target
-        :param most: maximum sends to the target within one second
+        :param max_sends: maximum sends to the target within one second
         :param now: current monotonic time, in seconds
-        :param lapse: lifetime of the permit, in seconds
+        :param permit_seconds: lifetime of the permit, in seconds
         """
         self._expire(now)
         granted = self._granted.setdefault(instance, [])
-        if len(granted) >= most:
+        if len(granted) >= max_sends:
             return False
-        granted.append(now + 1.0 + lapse + CONNECT_SECONDS)
+        granted.append(now + 1.0 + permit_seconds + CONNECT_SECONDS)
         return True
 
     def count_targets(self) -> int:
--- a/packages/gateway/src/chivepier/gateway/quarantine/__init__.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/__init__.py
@@ -2,13 +2,13 @@
 
 from chivepier.gateway.quarantine.clearance import Clearance
 from chivepier.gateway.quarantine.crashdetector import CrashDetector
+from chivepier.gateway.quarantine.crashledger import CrashLedger
+from chivepier.gateway.quarantine.crashledger import Record
 from chivepier.gateway.quarantine.digest import digest_request
 from chivepier.gateway.quarantine.digest import shorten
 from chivepier.gateway.quarantine.ending import Ending
 from chivepier.gateway.quarantine.hold import Hold
 from chivepier.gateway.quarantine.incarnation import Incarnation
-from chivepier.gateway.quarantine.ledger import Ledger
-from chivepier.gateway.quarantine.ledger import Record
 from chivepier.gateway.quarantine.lostrequest import LostRequest
 from chivepier.gateway.quarantine.overrides import Overrides
 from chivepier.gateway.quarantine.quarantine import Quarantine
@@ -18,10 +18,10 @@
 __all__ = [
     "Clearance",
     "CrashDetector",
+    "CrashLedger",
     "Ending",
     "Hold",
     "Incarnation",
-    "Ledger",
     "LostRequest",
     "Overrides",
     "Quarantine",
--- a/packages/gateway/src/chivepier/gateway/quarantine/crashdetector.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/crashdetector.py
@@ -83,17 +83,19 @@
             return
         known = self._table.get(incarnation.instance)
         if known is not None and known.born > incarnation.born:
-            self.note_ended(incarnation, request.at, "restarted")
+            self.note_ended(incarnation, request.lost_at, "restarted")
         if incarnation in self._ended:
             self._report_if_related(request, *self._ended[incarnation])
             return
         check = self._checks.get(incarnation)
         if check is None:
-            check = CrashCheck(request.target, request.at + CHECK_SECONDS)
+            check = CrashCheck(request.target, request.lost_at + CHECK_SECONDS)
             self._checks[incarnation] = check
             check.watch = self._start(self._watch(incarnation, check))
         check.lost.append(request)
-        if request.broke and (check.probe is None or check.probe.done()):
+        if request.disconnected and (
+            check.probe is None or check.probe.done()
+        ):
             check.probe = self._start(self._run_probe(incarnation, check))
 
     def note_ended(
@@ -135,20 +137,21 @@
 
     def _may_be_cause(self, request: LostRequest) -> bool:
         if (
-            request.begun is not None
-            and request.at - request.begun > SUSPECT_WINDOW_SECONDS
+            request.first_event_at is not None
+            and request.lost_at - request.first_event_at
+            > SUSPECT_WINDOW_SECONDS
         ):
             return False
         leaving_since = self._leaving_since.get(Incarnation.of(request.target))
         return (
             leaving_since is None
-            or request.at - leaving_since < LEAVING_GRACE_SECONDS
+            or request.lost_at - leaving_since < LEAVING_GRACE_SECONDS
         )
 
     def _report_if_related(
         self, request: LostRequest, at: float, how: str
     ) -> None:
-        simultaneous = abs(request.at - at) <= SAME_CRASH_SECONDS
+        simultaneous = abs(request.lost_at - at) <= SAME_CRASH_SECONDS
         match how:
             case "restarted" | "replaced":
                 # the time of the end is unknown; the check's timeout bounds it
@@ -157,7 +160,7 @@
                 known = self._table.get(request.target.instance)
                 counts = (
                     known is None
-                    or request.sent - known.heard < MAX_SILENCE_SECONDS
+                    or request.sent_at - known.heard < MAX_SILENCE_SECONDS
                 )
             case _:
                 counts = simultaneous
--- a/packages/gateway/src/chivepier/gateway/quarantine/ledger.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/crashledger.py
@@ -28,7 +28,7 @@
 Record = Ending | Clearance
 
 
-class Ledger:
+class CrashLedger:
     """Endings and clearances by request, merged from all entries.
 
     Records are immutable, only added and expired, so that merging does not
@@ -37,7 +37,7 @@
     :ivar revision: number of records added so far
     :ivar suspects: digests of the requests that are or were held back
 
-    >>> ledger = Ledger()
+    >>> ledger = CrashLedger()
     >>> for name in "abc":
     ...     end = Ending("d", Incarnation(name, 0), 5.0, "e1", "refused")
     ...     assert ledger.add(end)
--- a/packages/gateway/src/chivepier/gateway/quarantine/lostrequest.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/lostrequest.py
@@ -13,18 +13,19 @@
     :param digest: digest of the request, the same for each attempt
     :param team: team of the caller
     :param target: target that it was sent to
-    :param sent: when it was sent there, in monotonic seconds
-    :param begun: when its first event arrived, in monotonic seconds; ``None``
-        if none did
-    :param broke: whether the connection broke; otherwise it timed out
-    :param at: when the loss was noticed, in monotonic seconds
+    :param sent_at: when it was sent there, in monotonic seconds
+    :param first_event_at: when its first event arrived, in monotonic
+        seconds; ``None`` if none did
+    :param disconnected: whether the connection broke; otherwise it timed
+        out
+    :param lost_at: when the loss was noticed, in monotonic seconds
     """
 
     id: str
     digest: str
     team: str | None
     target: Target
-    sent: float
-    begun: float | None
-    broke: bool
-    at: float
+    sent_at: float
+    first_event_at: float | None
+    disconnected: bool
+    lost_at: float
--- a/packages/gateway/src/chivepier/gateway/quarantine/quarantine.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/quarantine.py
@@ -7,13 +7,13 @@
 from chivepier.gateway.quarantine.clearance import Clearance
 from chivepier.gateway.quarantine.crashdetector import CrashDetector
 from chivepier.gateway.quarantine.crashdetector import Probe
+from chivepier.gateway.quarantine.crashledger import CrashLedger
+from chivepier.gateway.quarantine.crashledger import HOLD_SECONDS
+from chivepier.gateway.quarantine.crashledger import Record
 from chivepier.gateway.quarantine.digest import shorten
 from chivepier.gateway.quarantine.ending import Ending
 from chivepier.gateway.quarantine.hold import Hold
 from chivepier.gateway.quarantine.incarnation import Incarnation
-from chivepier.gateway.quarantine.ledger import HOLD_SECONDS
-from chivepier.gateway.quarantine.ledger import Ledger
-from chivepier.gateway.quarantine.ledger import Record
 from chivepier.gateway.quarantine.lostrequest import LostRequest
 from chivepier.gateway.quarantine.overrides import Overrides
 from chivepier.gateway.quarantine.recentanswers import RecentAnswers
@@ -43,7 +43,7 @@
     :param me: name of this entry
     :param table: targets
     :param probe: checks whether a target is alive
-    :param orders: operators' overrides
+    :param overrides: operators' overrides
     :param clock: monotonic clock
     :param log: log of the decisions
     :param metrics: counters of the decisions
@@ -54,19 +54,19 @@
         me: str,
         table: TargetTable,
         probe: Probe,
-        orders: Overrides,
+        overrides: Overrides,
         clock: Clock,
         log: EventLog,
         metrics: Metrics,
     ):
-        self.ledger = Ledger()
+        self.ledger = CrashLedger()
         self.detector = CrashDetector(table, probe, self._report_ending, clock)
         self.publish: Publish = lambda record: None
         self.watchers: list[Watcher] = []
         self._held: set[str] = set()
         self._expired_at = 0.0
         self._me = me
-        self.orders = orders
+        self.overrides = overrides
         self._clock = clock
         self._log = log
         self._metrics = metrics
@@ -75,7 +75,7 @@
     @property
     def idle(self) -> bool:
         """Whether no request can be held back."""
-        return not self.ledger.suspects and not self.orders.keep_out
+        return not self.ledger.suspects and not self.overrides.keep_out
 
     def find_hold(self, digest: str) -> Hold | None:
         """Return the hold on a request that must not be sent to targets.
@@ -83,14 +83,14 @@
         :param digest: digest of the request
         :returns: the hold with its evidence, or ``None``
         """
-        if self.orders.allows(digest):
+        if self.overrides.allows(digest):
             return None
         now = self._clock.monotonic()
-        if self.orders.blocks(digest):
+        if self.overrides.blocks(digest):
             return Hold(digest, (), now + HOLD_SECONDS)
         return self.ledger.find_hold(digest, now)
 
-    def note_loss(self, request: LostRequest) -> None:
+    def note_lost(self, request: LostRequest) -> None:
         """Check whether the target of a lost request has ended."""
         self.detector.investigate(request)
 
@@ -168,7 +168,9 @@
 
     def _report_ending(self, request: LostRequest, how: str) -> None:
         """Record that a target has ended under a request of this entry."""
-        answered_at = self._recent_answers.find(request.digest, request.at)
+        answered_at = self._recent_answers.find(
+            request.digest, request.lost_at
+        )
         if answered_at is not None:
             # copies of it run on many targets, and others answered them
             self._log.info(
@@ -176,11 +178,13 @@
                 id=request.id,
                 digest=shorten(request.digest),
                 target=request.target.instance,
-                answered_s=round(request.at - answered_at, 1),
+                answered_s=round(request.lost_at - answered_at, 1),
             )
             return
         incarnation = Incarnation.of(request.target)
-        ending = Ending(request.digest, incarnation, request.at, self._me, how)
+        ending = Ending(
+            request.digest, incarnation, request.lost_at, self._me, how
+        )
         if not self._add(ending):
             return
         self._metrics.note_quarantine("suspected")
--- a/packages/gateway/src/chivepier/gateway/quarantine/recentanswers.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/recentanswers.py
@@ -1,6 +1,6 @@
 """Requests that were answered recently."""
 
-from chivepier.gateway.quarantine.ledger import CLEARANCE_WINDOW_SECONDS
+from chivepier.gateway.quarantine.crashledger import CLEARANCE_WINDOW_SECONDS
 
 # Maximum number of requests that are remembered.
 MAX_RECENT_ANSWERS = 4_096
--- a/packages/gateway/src/chivepier/gateway/quarantine/records.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/records.py
@@ -6,9 +6,9 @@
 from chivepier.gateway.messages import EndingRecord
 from chivepier.gateway.messages import QuarantineNotice
 from chivepier.gateway.quarantine.clearance import Clearance
+from chivepier.gateway.quarantine.crashledger import Record
 from chivepier.gateway.quarantine.ending import Ending
 from chivepier.gateway.quarantine.incarnation import Incarnation
-from chivepier.gateway.quarantine.ledger import Record
 
 
 def pack_records(
--- a/packages/gateway/src/chivepier/gateway/quarantine/tests/test_crashdetector.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/tests/test_crashdetector.py
@@ -72,10 +72,10 @@
             "digest": digest,
             "team": "t1",
             "target": self.table.get(name),
-            "sent": now - 0.1,
-            "begun": None,
-            "broke": True,
-            "at": now,
+            "sent_at": now - 0.1,
+            "first_event_at": None,
+            "disconnected": True,
+            "lost_at": now,
         }
         loss = LostRequest(**{**fields, **changes})
         self.detector.investigate(loss)
@@ -132,7 +132,7 @@
     # a partition, and announces its next incarnation when that heals.
     async def test(fixture):
         fixture.liveness = Liveness.UNKNOWN
-        fixture.lose(broke=False)
+        fixture.lose(disconnected=False)
         await fixture.advance(4.0)
         fixture.announce("a", 1, born=2)
         assert fixture.reports == [("d", "restarted")]
@@ -180,7 +180,7 @@
         fixture.liveness = Liveness.UNKNOWN
         await fixture.advance(2.5)
         fixture.announce("b", 2)
-        fixture.lose(broke=False)
+        fixture.lose(disconnected=False)
         for number in range(3, 8):
             await fixture.advance(1.0)
             fixture.announce("b", number)
@@ -193,8 +193,8 @@
     async def test(fixture):
         fixture.liveness = Liveness.ENDED
         now = fixture.clock.monotonic()
-        fixture.lose(begun=now - SUSPECT_WINDOW_SECONDS - 0.1)
-        fixture.lose("early", begun=now - 0.1)
+        fixture.lose(first_event_at=now - SUSPECT_WINDOW_SECONDS - 0.1)
+        fixture.lose("early", first_event_at=now - 0.1)
         await fixture.yield_to_tasks()
         assert fixture.reports == [("early", "refused")]
 
@@ -222,7 +222,7 @@
 def test_end_seen_by_other_entry_counts_for_simultaneous_losses():
     async def test(fixture):
         fixture.liveness = Liveness.UNKNOWN
-        fixture.lose("before", broke=False)
+        fixture.lose("before", disconnected=False)
         await fixture.advance(3.0)
         fixture.lose("with")
         fixture.detector.note_ended(
--- a/packages/gateway/src/chivepier/gateway/quarantine/tests/test_ledger.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/tests/test_crashledger.py
@@ -6,14 +6,14 @@
 from hypothesis import strategies
 
 from chivepier.gateway.quarantine.clearance import Clearance
+from chivepier.gateway.quarantine.crashledger import CLEARANCE_WINDOW_SECONDS
+from chivepier.gateway.quarantine.crashledger import CrashLedger
+from chivepier.gateway.quarantine.crashledger import ENDING_TTL_SECONDS
+from chivepier.gateway.quarantine.crashledger import HOLD_SECONDS
+from chivepier.gateway.quarantine.crashledger import MAX_ENDINGS_PER_REQUEST
+from chivepier.gateway.quarantine.crashledger import MAX_RECORDS
 from chivepier.gateway.quarantine.ending import Ending
 from chivepier.gateway.quarantine.incarnation import Incarnation
-from chivepier.gateway.quarantine.ledger import CLEARANCE_WINDOW_SECONDS
-from chivepier.gateway.quarantine.ledger import ENDING_TTL_SECONDS
-from chivepier.gateway.quarantine.ledger import HOLD_SECONDS
-from chivepier.gateway.quarantine.ledger import Ledger
-from chivepier.gateway.quarantine.ledger import MAX_ENDINGS_PER_REQUEST
-from chivepier.gateway.quarantine.ledger import MAX_RECORDS
 from chivepier.gateway.quarantine.records import pack_records
 from chivepier.gateway.quarantine.records import unpack_records
 
@@ -27,7 +27,7 @@
 
 
 def add_endings(
-    ledger: Ledger, digest: str, count: int, seen: float = 100.0
+    ledger: CrashLedger, digest: str, count: int, seen: float = 100.0
 ) -> None:
     """Add a number of endings of different targets under a request."""
     for number in range(count):
@@ -35,7 +35,7 @@
 
 
 def test_third_ending_holds_request_back_temporarily():
-    ledger = Ledger()
+    ledger = CrashLedger()
     for number in range(3):
         assert ledger.find_hold("d", 103.0) is None
         ledger.add(make_ending("d", f"i{number}", 100.0 + number))
@@ -48,7 +48,7 @@
 def test_fourth_ending_doubles_hold():
     # It ends the next target as soon as it is released. If its endings were
     # dropped on release, it would end three targets each time.
-    ledger = Ledger()
+    ledger = CrashLedger()
     add_endings(ledger, "d", 3)
     ledger.add(make_ending("d", "next", 1000.0))
     assert ledger.find_hold("d", 1001.0).until == 1000.0 + 2 * HOLD_SECONDS
@@ -57,7 +57,7 @@
 
 
 def test_ending_reported_by_two_entries_counts_once():
-    ledger = Ledger()
+    ledger = CrashLedger()
     assert ledger.add(make_ending("d", "i1"))
     assert not ledger.add(
         Ending("d", Incarnation("i1", 1), 100.5, "e2", "told")
@@ -70,7 +70,7 @@
 def test_answer_clears_endings_before_and_shortly_after_it():
     # Copies of a popular request run on each target that ends within a second,
     # while another copy has just been answered.
-    ledger = Ledger()
+    ledger = CrashLedger()
     add_endings(ledger, "d", 3)
     ledger.add(Clearance("d", 100.0 - CLEARANCE_WINDOW_SECONDS / 2, "e2"))
     assert ledger.find_hold("d", NOW) is None and not ledger.has_endings("d")
@@ -82,7 +82,7 @@
 def test_full_ledger_keeps_cause():
     # A wave of ends records thousands of requests that ran beside the cause.
     # If the oldest were dropped, the cause would be forgotten with them.
-    ledger = Ledger()
+    ledger = CrashLedger()
     add_endings(ledger, "cause", 3)
     for number in range(2 * MAX_RECORDS):
         ledger.add(make_ending(f"beside{number}", "i", 200.0 + number))
@@ -92,7 +92,7 @@
 
 
 def test_endings_per_request_are_bounded():
-    ledger = Ledger()
+    ledger = CrashLedger()
     for number in range(100):
         ledger.add(make_ending("d", f"i{number}", float(number)))
     kept = ledger.find_endings("d")
@@ -100,7 +100,7 @@
 
 
 def test_find_newer_returns_records_since_revision():
-    ledger = Ledger()
+    ledger = CrashLedger()
     ledger.add(make_ending("d", "i1"))
     before = ledger.revision
     ledger.add(make_ending("d", "i2"))
@@ -129,7 +129,7 @@
     strategies.lists(strategies.sampled_from(RECORDS)),
 )
 def test_merge_does_not_depend_on_order_or_repetition(order, again):
-    ledger, other = Ledger(), Ledger()
+    ledger, other = CrashLedger(), CrashLedger()
     for record in RECORDS:
         ledger.add(record)
     for record in (*order, *again):
@@ -142,7 +142,7 @@
 def test_request_without_endings_is_not_a_suspect():
     # There are more causes than fit. One whose endings were dropped for others
     # must not stay among the suspects.
-    ledger = Ledger()
+    ledger = CrashLedger()
     for number in range(MAX_RECORDS // 3 + 100):
         add_endings(ledger, f"cause{number}", 3)
     assert ledger.find_held(NOW) == ledger.suspects
--- a/packages/gateway/src/chivepier/gateway/serving/answerfacts.py
+++ b/packages/gateway/src/chivepier/gateway/serving/answerfacts.py
@@ -20,7 +20,7 @@
         end of the connection ends it
     :param limit: rate limit of the target; ``None`` if answers of this kind
         carry none
-    :param rest: how long the target asks this entry to send nothing
+    :param backoff: how long the target asks this entry to send nothing
     :param leaving: whether the target announces that it leaves
     :param unknown_headers: names of headers that are not understood
     """
@@ -30,6 +30,6 @@
     mismatched: bool = False
     framed: bool = True
     limit: Limit | None = NoLimit()
-    rest: Backoff = NoBackoff()
+    backoff: Backoff = NoBackoff()
     leaving: bool = False
     unknown_headers: tuple[str, ...] = ()
--- a/packages/gateway/src/chivepier/gateway/serving/copyturns.py
+++ b/packages/gateway/src/chivepier/gateway/serving/copyturns.py
@@ -26,12 +26,12 @@
     the other. If all were ordered at once, the short second copy of a stopped
     generation would wait behind the long first copies of others.
 
-    :param board: shares the pending copies with the other entries
+    :param loads: shares the pending copies with the other entries
     :param clock: source of monotonic time
     """
 
-    def __init__(self, board: LoadTracker, clock: Clock):
-        self._board = board
+    def __init__(self, loads: LoadTracker, clock: Clock):
+        self._loads = loads
         self._clock = clock
         self._pending: dict[str, set[LiveRun]] = {}
         self._published_at: dict[str, float] = {}
@@ -66,13 +66,13 @@
         """Delete the state of a target that has no generations left."""
         for known in (self._pending, self._published_at, self._locks):
             known.pop(source, None)
-        self._board.set_copy_time(source, 0)
+        self._loads.set_copy_time(source, 0)
 
     def _publish(self, source: str) -> None:
         seconds = sum(
             run.estimate_copy_seconds() for run in self._pending[source]
         )
-        self._board.set_copy_time(source, to_milliseconds(seconds))
+        self._loads.set_copy_time(source, to_milliseconds(seconds))
 
     @contextlib.asynccontextmanager
     async def take(
@@ -82,23 +82,23 @@
         async with self._locks.setdefault(source, asyncio.Lock()):
             self.announce(source, {run})
             await self._wait_for_turn(source, run)
-            self._board.set_copying(source, True)
+            self._loads.set_copying(source, True)
             try:
                 yield
             finally:
-                self._board.set_copying(source, False)
+                self._loads.set_copying(source, False)
                 self.withdraw(source, run)
 
     async def _wait_for_turn(self, source: str, run: LiveRun) -> None:
         known = self._published_at[source] + PEER_UPDATE_SECONDS
         await run.wait_for_loss(max(0.0, known - self._clock.monotonic()))
         began = self._clock.monotonic()
-        before = self._board.get_copy_wait_ms(source, began)
+        before = self._loads.get_copy_wait_ms(source, began)
         end = began + min(before / 1000, MAX_WAIT_SECONDS)
         while before and self._clock.monotonic() < end:
             await run.wait_for_loss(POLL_INTERVAL_SECONDS)
             if run.lost.is_set():
                 return
-            before = self._board.get_copy_wait_ms(
+            before = self._loads.get_copy_wait_ms(
                 source, self._clock.monotonic()
             )
--- a/packages/gateway/src/chivepier/gateway/serving/crashguard.py
+++ b/packages/gateway/src/chivepier/gateway/serving/crashguard.py
@@ -71,16 +71,16 @@
         :param disconnected: whether the connection broke; otherwise the
             target did not answer in time
         """
-        self._quarantine.note_loss(
+        self._quarantine.note_lost(
             LostRequest(
                 id=plan.request.id,
                 digest=plan.digest,
                 team=plan.team,
                 target=target,
-                sent=sent_at,
-                begun=first_event_at,
-                broke=disconnected,
-                at=self._clock.monotonic(),
+                sent_at=sent_at,
+                first_event_at=first_event_at,
+                disconnected=disconnected,
+                lost_at=self._clock.monotonic(),
             )
         )
 
--- a/packages/gateway/src/chivepier/gateway/serving/dispatcher.py
+++ b/packages/gateway/src/chivepier/gateway/serving/dispatcher.py
@@ -7,14 +7,14 @@
 from chivepier.gateway.serving.assignment import Assignment
 from chivepier.gateway.serving.callpurpose import CallPurpose
 from chivepier.gateway.serving.crashguard import CrashGuard
-from chivepier.gateway.serving.errors import AllAtRestError
+from chivepier.gateway.serving.errors import AllBackedOffError
 from chivepier.gateway.serving.errors import BrokenAnswerError
 from chivepier.gateway.serving.errors import ConnectionLostError
 from chivepier.gateway.serving.errors import NoCapacityError
 from chivepier.gateway.serving.errors import NotPermittedError
 from chivepier.gateway.serving.errors import NotSentError
 from chivepier.gateway.serving.errors import RateLimitedError
-from chivepier.gateway.serving.headerrecorder import describe_rest
+from chivepier.gateway.serving.headerrecorder import get_backoff_seconds
 from chivepier.gateway.serving.liverun import LiveRun
 from chivepier.gateway.serving.mover import Mover
 from chivepier.gateway.serving.plan import Plan
@@ -55,16 +55,16 @@
 
     :param state: number of entries that share the retry budget
     :param table: the known targets
-    :param chooser: load balancer that picks among them
+    :param balancer: load balancer that picks among them
     :param health: failure and latency statistics of targets
-    :param board: load of each target
+    :param loads: load of each target
     :param queues: requests that wait for capacity
     :param mover: migrates generations off targets that leave
     :param calls: client for calls to targets
     :param budget: limits retries
     :param guard: blocks requests that crash targets
     :param gate: decides what may be sent to which target
-    :param returns: schedules when refused callers may retry
+    :param retry_after: schedules when refused callers may retry
     :param clock: monotonic clock
     :param log: event log for decisions on requests
     """
@@ -74,22 +74,22 @@
         *,
         state: ServingState,
         table: TargetTable,
-        chooser: LoadBalancer,
+        balancer: LoadBalancer,
         health: TargetHealth,
-        board: LoadTracker,
+        loads: LoadTracker,
         queues: QueueTracker,
         mover: Mover,
         calls: TargetCalls,
         budget: RetryBudget,
         guard: CrashGuard,
         gate: SendGate,
-        returns: RetryAfterScheduler,
+        retry_after: RetryAfterScheduler,
         clock: Clock,
         log: EventLog,
     ):
         self.state = state
         self.table = table
-        self.chooser = chooser
+        self.balancer = balancer
         self.health = health
         self.mover = mover
         self.calls = calls
@@ -98,10 +98,10 @@
         self.gate = gate
         self.clock = clock
         self.log = log
-        self.runs = RunTracker(board, mover, chooser.prefill_estimator, clock)
-        self._refusals = RejectionPolicy(table, clock, returns, log)
-        self._placing = TargetAssigner(
-            chooser, health, queues, calls, guard, gate, clock, log
+        self.runs = RunTracker(loads, mover, balancer.prefill_estimator, clock)
+        self._rejection = RejectionPolicy(table, clock, retry_after, log)
+        self._assigner = TargetAssigner(
+            balancer, health, queues, calls, guard, gate, clock, log
         )
 
     async def dispatch(self, plan: Plan) -> StartedAnswer:
@@ -116,29 +116,29 @@
         runs = rounds = 0
         retry_counted = True
         while True:
-            self._refusals.check_deadline(plan, runs)
+            self._rejection.check_deadline(plan, runs)
             self.guard.check(plan, runs)
             await self.gate.wait_fresh()
-            place = await self._find_place(plan, tried, runs)
+            assignment = await self._find_assignment(plan, tried, runs)
             # the request may have been quarantined while it waited
             self.guard.check(plan, runs)
-            if place is None:
+            if assignment is None:
                 rounds += 1
-                self._refusals.check_rounds(plan, rounds, bool(tried), runs)
+                self._rejection.check_rounds(plan, rounds, bool(tried), runs)
                 tried.clear()
                 await self.clock.sleep(REFUSED_RETRY_SECONDS * rounds)
                 continue
             if not retry_counted and not self.take_retry(plan):
-                raise self._refusals.make_error(
+                raise self._rejection.make_error(
                     plan, runs, "no repeats are left"
                 )
             retry_counted = False
-            self._log_placement(plan, place)
-            target = place.target
+            self._log_assignment(plan, assignment)
+            target = assignment.target
             tried.add(target.instance)
             may_retry = plan.repeatable and runs + 1 < plan.route.attempts
             try:
-                started = await self._attempt(plan, place, may_retry)
+                started = await self._attempt(plan, assignment, may_retry)
             except NotSentError as error:
                 self._note_not_sent(plan, target, error)
                 # the request did not arrive, so the next send is no retry
@@ -152,7 +152,7 @@
                 runs += 1
                 if not may_retry:
                     self.guard.check(plan, runs)
-                    raise self._refusals.make_lost_error(error) from None
+                    raise self._rejection.make_lost_error(error) from None
                 await self.guard.wait_for_verdict(plan, target)
                 continue
             if self._is_refused(plan, target, started.answer):
@@ -172,20 +172,20 @@
                 return started
             self.release(started)
 
-    async def _find_place(
+    async def _find_assignment(
         self, plan: Plan, tried: set[str], runs: int
     ) -> Assignment | None:
         try:
-            return await self._placing.find_assignment(plan, tried)
+            return await self._assigner.find_assignment(plan, tried)
         except NoCapacityError:
             text = "no target has room"
-            raise self._refusals.make_error(plan, runs, text) from None
+            raise self._rejection.make_error(plan, runs, text) from None
         except RateLimitedError as error:
-            raise self._refusals.make_over_limit_error(
+            raise self._rejection.make_over_limit_error(
                 plan, runs, error.rate, self.state.entries
             ) from None
-        except AllAtRestError as error:
-            raise self._refusals.make_backoff_error(
+        except AllBackedOffError as error:
+            raise self._rejection.make_backoff_error(
                 plan, runs, error.seconds
             ) from None
 
@@ -202,9 +202,9 @@
             error=repr(error),
         )
 
-    def _log_placement(self, plan: Plan, place: Assignment) -> None:
-        target, demand = place.target, plan.demand
-        load = self.chooser.find_load(target.instance)
+    def _log_assignment(self, plan: Plan, assignment: Assignment) -> None:
+        target, demand = assignment.target, plan.demand
+        load = self.balancer.find_load(target.instance)
         now = self.clock.monotonic()
         self.log.info(
             "placed",
@@ -212,7 +212,7 @@
             target=target.instance,
             ms=round(1000 * (now - plan.request.arrived)),
             heard_ms=round(1000 * (now - target.heard)),
-            reserved=place.reservation is not None,
+            reserved=assignment.reservation is not None,
             prompt=demand.prompt if demand else None,
             output=demand.output if demand else None,
             runs=load.runs,
@@ -234,12 +234,12 @@
         if started.run is not None:
             self.runs.untrack(started.run)
             started.answer.close()
-        self.chooser.record_end(started.target.instance)
+        self.balancer.record_end(started.target.instance)
 
     async def _attempt(
-        self, plan: Plan, place: Assignment, may_retry: bool
+        self, plan: Plan, assignment: Assignment, may_retry: bool
     ) -> StartedAnswer:
-        target = place.target
+        target = assignment.target
         seconds = plan.deadline - self.clock.monotonic()
         if may_retry:
             seconds = min(
@@ -248,7 +248,7 @@
         run = None
         if plan.demand is not None:
             run = self.runs.start(plan, target)
-        self.chooser.record_start(target.instance)
+        self.balancer.record_start(target.instance)
         sent_at = self.clock.monotonic()
         answer: TargetAnswer | None = None
         try:
@@ -258,9 +258,9 @@
                 answer = await self.calls.send(
                     target,
                     plan.request,
-                    self._build_options(plan, place),
+                    self._build_options(plan, assignment),
                     CallPurpose.START,
-                    place.permit,
+                    assignment.permit,
                 )
                 started = await self._read_answer(plan, target, answer, run)
         except BaseException as error:
@@ -274,7 +274,7 @@
                 answer.close()
             if run is not None:
                 self.runs.abandon(run)
-            self.chooser.record_end(target.instance)
+            self.balancer.record_end(target.instance)
             raise
         self._note_answer(plan, started, sent_at)
         return started
@@ -304,9 +304,11 @@
             self.runs.abandon(run)
         return StartedAnswer(target, answer, b"".join(parts))
 
-    def _build_options(self, plan: Plan, place: Assignment) -> SendOptions:
+    def _build_options(
+        self, plan: Plan, assignment: Assignment
+    ) -> SendOptions:
         return SendOptions(
-            reservation=place.reservation,
+            reservation=assignment.reservation,
             seconds=plan.deadline - self.clock.monotonic(),
             team=plan.team,
             urgency=START_URGENCY if plan.demand is not None else None,
@@ -328,7 +330,7 @@
             target=target.instance,
             status=answer.status,
             other=facts.other_instance,
-            rest=describe_rest(facts.rest),
+            rest=get_backoff_seconds(facts.backoff),
             leaving=facts.leaving,
         )
         return True
@@ -388,4 +390,4 @@
         if self.table.is_current(target):
             # a target that has restarted is not avoided because its previous
             # incarnation did not answer
-            self.chooser.avoid_unreachable(target.instance)
+            self.balancer.avoid_unreachable(target.instance)
--- a/packages/gateway/src/chivepier/gateway/serving/errors.py
+++ b/packages/gateway/src/chivepier/gateway/serving/errors.py
@@ -26,7 +26,7 @@
         self.rate = rate
 
 
-class AllAtRestError(Exception):
+class AllBackedOffError(Exception):
     """All targets have asked this entry to send nothing for a while.
 
     :param seconds: time until the first target may be called, in seconds
--- a/packages/gateway/src/chivepier/gateway/serving/headerrecorder.py
+++ b/packages/gateway/src/chivepier/gateway/serving/headerrecorder.py
@@ -22,36 +22,36 @@
 # Name under which a rate limit that can't be parsed is counted.
 INVALID_LIMIT = "limit that is no number"
 # Name under which a rest that can't be parsed is counted.
-INVALID_REST = "rest that is no number"
+INVALID_BACKOFF = "rest that is no number"
 
 
 class HeaderRecorder:
-    """Records rate limits, rests and departures from the heads of answers.
+    """Records rate limits, backoffs and departures from the heads of answers.
 
     An unknown header may belong to a newer protocol that entries should
     support, so its first occurrence at any target is logged.
 
     :param limits: rate limits of targets
-    :param rests: targets that asked to be sent nothing for a while
-    :param leavers: targets that announced that they leave
+    :param backoffs: targets that asked to be sent nothing for a while
+    :param leaving_targets: targets that announced that they leave
     :param table: the known targets
     :param clock: monotonic clock
     :param log: event log
-    :param metrics: counts unknown headers and rests
+    :param metrics: counts unknown headers and backoffs
     """
 
     def __init__(
         self,
         limits: LimitTable,
-        rests: BackoffTable,
-        leavers: LeavingTargets,
+        backoffs: BackoffTable,
+        leaving_targets: LeavingTargets,
         table: TargetTable,
         clock: Clock,
         log: EventLog,
         metrics: Metrics,
     ):
-        self._rests = rests
-        self._leavers = leavers
+        self._backoffs = backoffs
+        self._leaving_targets = leaving_targets
         self._table = table
         self._limits = limits
         self._clock = clock
@@ -84,7 +84,7 @@
             return
         if facts.leaving:
             self._record_leaving(target)
-        self._record_rest(target, facts.rest)
+        self._record_backoff(target, facts.backoff)
         match facts.limit:
             case None:
                 pass
@@ -100,7 +100,7 @@
                 )
 
     def _record_leaving(self, target: Target) -> None:
-        if self._leavers.record(target, self._clock.monotonic()):
+        if self._leaving_targets.record(target, self._clock.monotonic()):
             self._log.info(
                 "leaving_told",
                 target=target.instance,
@@ -109,16 +109,16 @@
                 number=target.number,
             )
 
-    def _record_rest(self, target: Target, rest: Backoff) -> None:
+    def _record_backoff(self, target: Target, backoff: Backoff) -> None:
         now = self._clock.monotonic()
         instance, born = target.instance, target.born
-        match rest:
+        match backoff:
             case NoBackoff():
-                self._rests.note_answered(instance, born, now)
+                self._backoffs.note_answered(instance, born, now)
             case RequestedBackoff(seconds=seconds):
                 self._metrics.note_rest(target.service)
-                if self._rests.add(instance, born, seconds, now):
-                    pause = self._rests.find_delay(instance, born, now)
+                if self._backoffs.add(instance, born, seconds, now):
+                    pause = self._backoffs.find_delay(instance, born, now)
                     self._log.info(
                         "rest_asked",
                         target=instance,
@@ -126,10 +126,10 @@
                         service=target.service,
                         seconds=seconds,
                         kept_s=round(pause, 3),
-                        at_rest=self._rests.count(now),
+                        at_rest=self._backoffs.count(now),
                     )
             case InvalidBackoff():
-                self._count_unknown_header(target, INVALID_REST)
+                self._count_unknown_header(target, INVALID_BACKOFF)
 
     def _count_unknown_header(self, target: Target, name: str) -> None:
         if name not in self._unknown_headers:
@@ -142,6 +142,6 @@
         self._metrics.note_unread_header(name)
 
 
-def describe_rest(rest: Backoff) -> float | None:
+def get_backoff_seconds(backoff: Backoff) -> float | None:
     """Return the length of a rest in seconds, for the event log."""
-    return rest.seconds if isinstance(rest, RequestedBackoff) else None
+    return backoff.seconds if isinstance(backoff, RequestedBackoff) else None
--- a/packages/gateway/src/chivepier/gateway/serving/mover.py
+++ b/packages/gateway/src/chivepier/gateway/serving/mover.py
@@ -48,9 +48,9 @@
     pauses only for the second copy, which takes some milliseconds.
 
     :param calls: sends copy orders to targets
-    :param chooser: ranks destinations
+    :param balancer: ranks destinations
     :param table: the known targets and their states
-    :param board: loads of targets, and what other entries have to copy
+    :param loads: loads of targets, and what other entries have to copy
     :param guard: tells which requests are held back
     :param clock: source of monotonic time
     :param log: receives the events of moves
@@ -60,9 +60,9 @@
     def __init__(
         self,
         calls: TargetCalls,
-        chooser: LoadBalancer,
+        balancer: LoadBalancer,
         table: TargetTable,
-        board: LoadTracker,
+        loads: LoadTracker,
         guard: CrashGuard,
         clock: Clock,
         log: EventLog,
@@ -70,11 +70,11 @@
     ):
         self._metrics = metrics
         self._calls = calls
-        self._chooser = chooser
+        self._balancer = balancer
         self._table = table
-        self._board = board
+        self._loads = loads
         self._guard = guard
-        self._turns = CopyTurns(board, clock)
+        self._turns = CopyTurns(loads, clock)
         self._clock = clock
         self._log = log
         self._runs: dict[str, set[LiveRun]] = {}
@@ -154,7 +154,7 @@
             return False
         if now - last.heard_at >= UNREACHABLE_TIMEOUT_SECONDS:
             return True
-        if not self._chooser.is_zone_open(last.target):
+        if not self._balancer.is_zone_open(last.target):
             return False
         return await self._calls.probe(last.target) is Liveness.ENDED
 
@@ -248,11 +248,11 @@
         self, tokens: int, target: Target
     ) -> collections.abc.Iterator[None]:
         name = target.instance
-        self._board.adjust_own(name, tokens=tokens, receiving=1)
+        self._loads.adjust_own(name, tokens=tokens, receiving=1)
         try:
             yield
         finally:
-            self._board.adjust_own(name, tokens=-tokens, receiving=-1)
+            self._loads.adjust_own(name, tokens=-tokens, receiving=-1)
 
     async def _copy_to(
         self, run: LiveRun, source: Target, target: Target
@@ -319,7 +319,7 @@
         elsewhere = copy.origin is not None and copy.target is not run.target
         # nothing is sent to an evacuated zone; a copy there is released by
         # its target
-        if elsewhere and self._chooser.is_zone_open(copy.target):
+        if elsewhere and self._balancer.is_zone_open(copy.target):
             dropped = await self._calls.drop(copy.target, copy.origin.handle)
             self._log.info(
                 "copy_dropped",
@@ -332,7 +332,7 @@
         self, run: LiveRun, tried: set[str]
     ) -> Target | None:
         engine = run.service.engine
-        return self._chooser.choose_destination(
+        return self._balancer.choose_destination(
             run.service.name,
             engine,
             run.counted_tokens,
--- a/packages/gateway/src/chivepier/gateway/serving/queueticket.py
+++ b/packages/gateway/src/chivepier/gateway/serving/queueticket.py
@@ -6,12 +6,12 @@
 class QueueTicket:
     """Counts a request as waiting until the context is left.
 
-    :param board: the numbers of waiting requests at all entries
+    :param queues: the numbers of waiting requests at all entries
     :param service: name of the service that the request waits for
     """
 
-    def __init__(self, board: QueueTracker, service: str):
-        self._board = board
+    def __init__(self, queues: QueueTracker, service: str):
+        self._queues = queues
         self._service = service
         self._rank: int | None = None
 
@@ -20,13 +20,13 @@
 
     def __exit__(self, *exc) -> None:
         if self._rank is not None:
-            self._board.leave(self._service, self._rank)
+            self._queues.leave(self._service, self._rank)
 
     def set_rank(self, rank: int) -> None:
         """Count the request as waiting in this rank, and in no other."""
         if rank == self._rank:
             return
-        self._board.enter(self._service, rank)
+        self._queues.enter(self._service, rank)
         if self._rank is not None:
-            self._board.leave(self._service, self._rank)
+            self._queues.leave(self._service, self._rank)
         self._rank = rank
--- a/packages/gateway/src/chivepier/gateway/serving/relay.py
+++ b/packages/gateway/src/chivepier/gateway/serving/relay.py
@@ -268,7 +268,7 @@
         if dispatcher.guard.is_held(plan):
             return None
         service = plan.service
-        target = dispatcher.chooser.choose(
+        target = dispatcher.balancer.choose(
             service.name,
             service.engine,
             plan.demand,
@@ -324,7 +324,7 @@
         run.resume_at(handoff.target, dispatcher.clock.monotonic())
         self._splitter = EventSplitter()
         dispatcher.runs.track(run)
-        dispatcher.chooser.record_start(run.target.instance)
+        dispatcher.balancer.record_start(run.target.instance)
         if dispatcher.table.is_leaving(run.target.instance):
             dispatcher.mover.start_move(run)
         return StartedAnswer(run.target, answer, b"", run)
--- a/packages/gateway/src/chivepier/gateway/serving/retryafterscheduler.py
+++ b/packages/gateway/src/chivepier/gateway/serving/retryafterscheduler.py
@@ -38,8 +38,8 @@
 
         :param seconds: time until the first target accepts requests
         """
-        most = MIN_JITTER_SECONDS + JITTER_FRACTION * seconds
-        return seconds + self._rng.uniform(0.0, most)
+        max_jitter = MIN_JITTER_SECONDS + JITTER_FRACTION * seconds
+        return seconds + self._rng.uniform(0.0, max_jitter)
 
     def schedule(
         self, service: str, rate: float, entries: int, now: float
--- a/packages/gateway/src/chivepier/gateway/serving/runtracker.py
+++ b/packages/gateway/src/chivepier/gateway/serving/runtracker.py
@@ -15,22 +15,22 @@
 class RunTracker:
     """Updates the load of targets and registers generations for migration.
 
-    :param board: load of each target
+    :param loads: load of each target
     :param mover: migrates generations off targets that leave
-    :param pace: estimator of the prefill time
+    :param prefill_estimator: estimator of the prefill time
     :param clock: monotonic clock
     """
 
     def __init__(
         self,
-        board: LoadTracker,
+        loads: LoadTracker,
         mover: Mover,
-        pace: PrefillEstimator,
+        prefill_estimator: PrefillEstimator,
         clock: Clock,
     ):
-        self._reading_pace = pace
-        self._step_pace = DecodeEstimator()
-        self._board = board
+        self._prefill_estimator = prefill_estimator
+        self._decode_estimator = DecodeEstimator()
+        self._loads = loads
         self._mover = mover
         self._clock = clock
 
@@ -43,7 +43,7 @@
         """
         demand = plan.demand or Demand(prompt=0, output=0)
         now = self._clock.monotonic()
-        load = self._board.get_total(target.instance, now)
+        load = self._loads.get_total(target.instance, now)
         run = LiveRun(
             plan,
             target,
@@ -83,10 +83,10 @@
             run.first_event_at = self._clock.monotonic()
             if run.prefill_tokens:
                 seconds = run.first_event_at - run.sent_at
-                self._reading_pace.record(
+                self._prefill_estimator.record(
                     run.service.name, run.prefill_backlog, seconds
                 )
-            self._board.adjust_own(
+            self._loads.adjust_own(
                 run.target.instance, reading=-run.prefill_tokens
             )
 
@@ -100,8 +100,10 @@
         if prompt is None:
             return 0.0
         service = plan.service.name
-        reading = self._reading_pace.estimate(service, prompt.tokens)
-        return reading + self._step_pace.estimate(service, prompt.max_output)
+        reading = self._prefill_estimator.estimate(service, prompt.tokens)
+        return reading + self._decode_estimator.estimate(
+            service, prompt.max_output
+        )
 
     def note_complete(self, run: LiveRun) -> None:
         """Update the estimate of the decoding speed from a complete run.
@@ -116,7 +118,7 @@
         ):
             tokens = run.last_event_number * engine.event_tokens
             seconds = self._clock.monotonic() - run.first_event_at
-            self._step_pace.record(run.service.name, tokens, seconds)
+            self._decode_estimator.record(run.service.name, tokens, seconds)
 
     def note_growth(self, run: LiveRun) -> None:
         """Report the growth of a generation's KV cache in larger steps."""
@@ -128,11 +130,11 @@
             return
         grown = run.held_tokens + NEAR_TERM_OUTPUT_TOKENS - run.counted_tokens
         run.counted_tokens += grown
-        self._board.adjust_own(run.target.instance, tokens=grown)
+        self._loads.adjust_own(run.target.instance, tokens=grown)
 
     def _count(self, run: LiveRun, sign: int) -> None:
         waits = run.first_event_at is None
-        self._board.adjust_own(
+        self._loads.adjust_own(
             run.target.instance,
             runs=sign,
             tokens=sign * run.counted_tokens,
--- a/packages/gateway/src/chivepier/gateway/serving/sendgate.py
+++ b/packages/gateway/src/chivepier/gateway/serving/sendgate.py
@@ -29,12 +29,12 @@
 
 
 class SendGate:
-    """Checks evacuations, leaving targets, rests and permits before sends.
+    """Checks evacuations, leaving targets, backoffs and permits before sends.
 
     :param zones: evacuated availability zones
     :param table: the known targets and whether they leave
     :param permits: permits for targets with a rate limit
-    :param rests: targets that asked to be sent nothing for a while
+    :param backoffs: targets that asked to be sent nothing for a while
     :param freshness: whether the known evacuation orders are recent
     :param clock: monotonic clock
     :param metrics: counts sends that are refused by :meth:`check`
@@ -45,7 +45,7 @@
         zones: Zones,
         table: TargetTable,
         permits: SendLimiter,
-        rests: BackoffTable,
+        backoffs: BackoffTable,
         freshness: Freshness,
         clock: Clock,
         metrics: Metrics,
@@ -53,7 +53,7 @@
         self._zones = zones
         self._table = table
         self._permits = permits
-        self._rests = rests
+        self._backoffs = backoffs
         self._metrics = metrics
         self._freshness = freshness
         self._clock = clock
@@ -62,7 +62,7 @@
         """Wait until the known evacuation orders are recent, or can't be."""
         await self._freshness.wait()
 
-    async def take_permit(
+    async def acquire_permit(
         self, service: Service, target: Target, claim: Claim
     ) -> Permit | None:
         """Return a permit to send one request, ``None`` if there is none."""
@@ -70,7 +70,7 @@
 
     def find_rate(self, target: Target) -> float | None:
         """Return the rate limit of a target in requests/s, if it has one."""
-        return self._permits.find_limit(target)
+        return self._permits.find_rate(target)
 
     @property
     def has_limits(self) -> bool:
@@ -81,9 +81,9 @@
         self, targets: collections.abc.Iterable[Target]
     ) -> dict[str, float]:
         """Return the rate limits of those targets that have one, by name."""
-        return self._permits.find_limits(targets)
+        return self._permits.find_rates(targets)
 
-    def find_pause(self, target: Target, claim: Claim) -> float | None:
+    def find_backoff(self, target: Target, claim: Claim) -> float | None:
         """Return the seconds until a rate-limited target may be asked for."""
         return self._permits.find_backoff(target, claim)
 
@@ -120,24 +120,24 @@
                 target, now
             ):
                 return "evacuated"
-        if self._find_rest(target, now) is not None:
+        if self._find_delay(target, now) is not None:
             return "rest"
         return "permit" if now > permit.expires_at else None
 
-    def _find_rest(self, target: Target, now: float) -> float | None:
-        return self._rests.find_delay(target.instance, target.born, now)
+    def _find_delay(self, target: Target, now: float) -> float | None:
+        return self._backoffs.find_delay(target.instance, target.born, now)
 
     def note_sent(self, target: Target) -> None:
         """Record that a target is being called."""
         now = self._clock.monotonic()
-        self._rests.note_sent(target.instance, target.born, now)
+        self._backoffs.note_sent(target.instance, target.born, now)
 
     def may_probe(self, target: Target) -> bool:
         """Return whether a target may be probed for liveness."""
         now = self._clock.monotonic()
         if self._zones.is_evacuated(target.zone, now):
             return False
-        return self._find_rest(target, now) is None
+        return self._find_delay(target, now) is None
 
     def may_resume(self, target: Target) -> bool:
         """Return whether a generation may be resumed from a copy at a target.
@@ -145,8 +145,8 @@
         A rest that ends within the wait for a permit does not prevent it.
         """
         now = self._clock.monotonic()
-        rest = self._find_rest(target, now)
-        if rest is not None and rest > RESUME_WAIT_SECONDS:
+        delay = self._find_delay(target, now)
+        if delay is not None and delay > RESUME_WAIT_SECONDS:
             return False
         return self._may_resume_in_zone(target, now)
 
@@ -174,8 +174,8 @@
             now = self._clock.monotonic()
             left = end - now
             claim = Claim(team, RESUME_URGENCY, max(0.0, left))
-            if self._find_rest(target, now) is None:
-                permit = await self.take_permit(service, target, claim)
+            if self._find_delay(target, now) is None:
+                permit = await self.acquire_permit(service, target, claim)
                 if permit is not None:
                     return
             if left <= 0.0:
--- a/packages/gateway/src/chivepier/gateway/serving/targetassigner.py
+++ b/packages/gateway/src/chivepier/gateway/serving/targetassigner.py
@@ -4,7 +4,7 @@
 from chivepier.gateway.permits import Claim
 from chivepier.gateway.serving.assignment import Assignment
 from chivepier.gateway.serving.crashguard import CrashGuard
-from chivepier.gateway.serving.errors import AllAtRestError
+from chivepier.gateway.serving.errors import AllBackedOffError
 from chivepier.gateway.serving.errors import NoCapacityError
 from chivepier.gateway.serving.errors import NotPermittedError
 from chivepier.gateway.serving.errors import NotSentError
@@ -50,7 +50,7 @@
     they would be lost if it shut down, and requests that have already missed
     their objective would delay newer ones.
 
-    :param chooser: ranks the targets
+    :param balancer: ranks the targets
     :param health: tracks unreachable targets
     :param queues: numbers of requests waiting at all entries
     :param calls: sends reservations to targets
@@ -62,7 +62,7 @@
 
     def __init__(
         self,
-        chooser: LoadBalancer,
+        balancer: LoadBalancer,
         health: TargetHealth,
         queues: QueueTracker,
         calls: TargetCalls,
@@ -71,7 +71,7 @@
         clock: Clock,
         log: EventLog,
     ):
-        self._chooser = chooser
+        self._balancer = balancer
         self._health = health
         self._queues = queues
         self._calls = calls
@@ -85,13 +85,13 @@
     ) -> Assignment | None:
         """Choose a target, with a reservation if it supports them.
 
-        :param plan: the request's
-        :param tried: instances that must not be picked
-        :returns: the place; ``None`` when no target is left, or the request
-            must not be sent any more
+        :param plan: the plan of the request
+        :param tried: instances that must not be chosen
+        :returns: the assignment; ``None`` when no target is left, or when the
+            request must no longer be sent
         :raises NoCapacityError: when none had room for too long
-        :raises RateLimitedError: when all are in need and take no more
-        :raises AllAtRestError: when all are at rest for too long
+        :raises RateLimitedError: when the rate limits of all are used up
+        :raises AllBackedOffError: when all back off for too long
         """
         engine = plan.service.engine
         if plan.demand is None or engine is None or not engine.reserve_seconds:
@@ -108,9 +108,11 @@
                     self._log.info("no_room", id=plan.request.id)
                     raise NoCapacityError
                 for target in self._select_targets(plan, stage, tried):
-                    place = await self._try_target(plan, target, all_limited)
-                    if place is not None:
-                        return place
+                    assignment = await self._try_target(
+                        plan, target, all_limited
+                    )
+                    if assignment is not None:
+                        return assignment
                 ticket.set_rank(compute_rank(plan, stage))
                 await self._clock.sleep(ROUND_INTERVAL_SECONDS)
                 await self._gate.wait_fresh()
@@ -123,16 +125,16 @@
 
         :param plan: the plan of the request
         :param ticket: counts the request as waiting
-        :raises AllAtRestError: if no target is available in time
+        :raises AllBackedOffError: if no target is available in time
         """
         service = plan.service.name
         while True:
-            pause = self._chooser.find_shortest_rest(service, plan.regions)
+            pause = self._balancer.find_shortest_backoff(service, plan.regions)
             if pause is None:
                 return
             now = self._clock.monotonic()
             if now + pause > self._compute_latest_start(plan):
-                raise AllAtRestError(pause)
+                raise AllBackedOffError(pause)
             if ticket is not None:
                 ticket.set_rank(self._compute_rank(plan))
             await self._clock.sleep(pause)
@@ -153,9 +155,9 @@
         # targets being avoided are ranked once no other is left: they may
         # have room while all others are rate-limited
         while ranked := self._rank_targets(plan, tried):
-            place = await self._permit_first(plan, ranked, tried)
-            if place is not None:
-                return place
+            assignment = await self._permit_first(plan, ranked, tried)
+            if assignment is not None:
+                return assignment
         rate = self._sum_rate_limits(plan)
         if rate is not None:
             raise RateLimitedError(rate)
@@ -166,8 +168,8 @@
     ) -> Assignment | None:
         """Return the first target with a permit; add others to ``tried``."""
         limited = self._gate.find_rates(ranked)
-        patient = len(limited) == len(ranked) and self._are_all_limited(plan)
-        claim = self._make_claim(plan, patient)
+        may_wait = len(limited) == len(ranked) and self._are_all_limited(plan)
+        claim = self._make_claim(plan, may_wait)
         asked = 0
         for target in ranked:
             # each permit request delays the caller's request, and all
@@ -175,9 +177,9 @@
             left_out = (
                 target.instance in limited and asked >= MAX_TARGETS_PER_ROUND
             )
-            if not left_out and self._gate.find_pause(target, claim) is None:
+            if not left_out and self._gate.find_backoff(target, claim) is None:
                 asked += target.instance in limited
-                permit = await self._gate.take_permit(
+                permit = await self._gate.acquire_permit(
                     plan.service, target, claim
                 )
                 if permit is not None:
@@ -197,7 +199,7 @@
         if not self._gate.has_limits:
             return None
         # includes targets being avoided, which announce no limit
-        found = self._chooser.select(plan.service.name, plan.regions)
+        found = self._balancer.select(plan.service.name, plan.regions)
         rates = self._gate.find_rates(found)
         if not rates or len(rates) < len(found):
             return None
@@ -208,30 +210,30 @@
             return plan.urgency
         return compute_rank(plan, self._classify_wait(plan))
 
-    def _make_claim(self, plan: Plan, patient: bool) -> Claim:
+    def _make_claim(self, plan: Plan, may_wait: bool) -> Claim:
         """Build the claim of a request for a turn at a rate-limited target.
 
         A non-streaming call waits for its turn for a fraction of its latency
         objective. A generation claims a turn again in each round.
 
         :param plan: the plan of the request
-        :param patient: whether to wait for the turn, as no target without a
+        :param may_wait: whether to wait for the turn, as no target without a
             rate limit is left
         """
-        patience = 0.0
-        if patient and plan.demand is None:
+        max_wait = 0.0
+        if may_wait and plan.demand is None:
             waited = self._clock.monotonic() - plan.request.arrived
-            patience = MAX_TURN_WAIT_FRACTION * plan.route.objective - waited
-        elif patient:
-            patience = ROUND_INTERVAL_SECONDS
+            max_wait = MAX_TURN_WAIT_FRACTION * plan.route.objective - waited
+        elif may_wait:
+            max_wait = ROUND_INTERVAL_SECONDS
         rank = self._compute_rank(plan)
-        return Claim(plan.team or "", rank, max(0.0, patience))
+        return Claim(plan.team or "", rank, max(0.0, max_wait))
 
     async def _try_target(
-        self, plan: Plan, target: Target, patient: bool
+        self, plan: Plan, target: Target, may_wait: bool
     ) -> Assignment | None:
-        claim = self._make_claim(plan, patient)
-        permit = await self._gate.take_permit(plan.service, target, claim)
+        claim = self._make_claim(plan, may_wait)
+        permit = await self._gate.acquire_permit(plan.service, target, claim)
         if permit is None:
             return None
         if self._gate.find_rate(target) is not None:
@@ -262,7 +264,7 @@
         return True
 
     def _classify_wait(self, plan: Plan) -> WaitStage:
-        reading = self._chooser.prefill_estimator.estimate(
+        reading = self._balancer.prefill_estimator.estimate(
             plan.service.name, plan.demand.prompt
         )
         return classify_wait(plan, self._clock.monotonic(), reading)
@@ -275,11 +277,11 @@
             plan, stage
         ):
             return []
-        claim = self._make_claim(plan, patient=False)
+        claim = self._make_claim(plan, may_wait=False)
         found = [
             target
             for target in self._rank_targets(plan, tried, roomy=True)
-            if self._gate.find_pause(target, claim) is None
+            if self._gate.find_backoff(target, claim) is None
         ]
         return found[:MAX_TARGETS_PER_ROUND]
 
@@ -294,17 +296,17 @@
         now = self._clock.monotonic()
         rank = compute_rank(plan, stage)
         ahead = self._queues.count_ahead(service.name, rank, now)
-        ahead += self._chooser.count_leaving(service.name)
-        places = self._chooser.count_free_places(
+        ahead += self._balancer.count_leaving(service.name)
+        fitting = self._balancer.count_fitting(
             service.name, service.engine, plan.demand, plan.regions
         )
-        return places > ahead
+        return fitting > ahead
 
     def _rank_targets(
         self, plan: Plan, tried: set[str], roomy: bool = False
     ) -> list[Target]:
         service = plan.service
-        return self._chooser.rank(
+        return self._balancer.rank(
             service.name,
             service.engine,
             plan.demand,
@@ -326,7 +328,7 @@
             # the target
             return None
         except NotSentError as error:
-            self._chooser.avoid_unreachable(target.instance)
+            self._balancer.avoid_unreachable(target.instance)
             self._log.warn(
                 "reserve_failed",
                 id=plan.request.id,
--- a/packages/gateway/src/chivepier/gateway/serving/tests/parts.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/parts.py
@@ -129,8 +129,8 @@
         self.engines = FakeEngines()
         self.zones = Zones(REGIONS)
         self.table = TargetTable(1.0, self.zones)
-        self.board = LoadTracker("e1")
-        self.queues = QueueTracker("e1", self.board.changed)
+        self.loads = LoadTracker("e1")
+        self.queues = QueueTracker("e1", self.loads.changed)
         self.health = TargetHealth()
         self.state = ServingState()
         clock = LoopClock()
@@ -138,27 +138,27 @@
         log = EventLog("e1", self._lines.fileno())
         rng = random.Random(1)
         self.limits = LimitTable("e1")
-        self.rests = BackoffTable(rng)
-        chooser = LoadBalancer(
+        self.backoffs = BackoffTable(rng)
+        balancer = LoadBalancer(
             self.table,
             self.health,
-            self.board,
+            self.loads,
             "a",
             clock,
             rng,
             self.limits,
-            self.rests,
+            self.backoffs,
         )
         self.permitted: bool | None = True
         self.asked: list[tuple[str, int]] = []
-        self.turn = SendDecision(True, 0.0)
+        self.decision = SendDecision(True, 0.0)
         self.claims: list[PermitRequest] = []
         permits = SendLimiter(
             zones=self.zones,
             limits=self.limits,
             bound=ColdBound(1.5, 5.0),
             ask=self._answer_permit,
-            own=FallbackLimiter(rng),
+            fallback=FallbackLimiter(rng),
             count_entries=lambda: self.state.entries,
             clock=clock,
             log=log,
@@ -169,16 +169,16 @@
             self.zones,
             self.table,
             permits,
-            self.rests,
+            self.backoffs,
             self.freshness,
             clock,
             Metrics(),
         )
-        self.leavers = LeavingTargets(self.table)
+        self.leaving_targets = LeavingTargets(self.table)
         remarks = HeaderRecorder(
             self.limits,
-            self.rests,
-            self.leavers,
+            self.backoffs,
+            self.leaving_targets,
             self.table,
             clock,
             log,
@@ -197,9 +197,9 @@
         guard = CrashGuard(self.quarantine, clock)
         self.mover = Mover(
             calls,
-            chooser,
+            balancer,
             self.table,
-            self.board,
+            self.loads,
             guard,
             clock,
             log,
@@ -211,16 +211,16 @@
         self.dispatcher = Dispatcher(
             state=self.state,
             table=self.table,
-            chooser=chooser,
+            balancer=balancer,
             health=self.health,
-            board=self.board,
+            loads=self.loads,
             queues=self.queues,
             mover=self.mover,
             calls=calls,
             budget=self.budget,
             guard=guard,
             gate=gate,
-            returns=RetryAfterScheduler(rng),
+            retry_after=RetryAfterScheduler(rng),
             clock=clock,
             log=log,
         )
@@ -243,8 +243,8 @@
             self.asked.append((request.instance, request.cold_limit))
         if self.permitted is None:
             return None
-        granted = self.permitted and self.turn.granted
-        return PermitAnswer(granted, self.turn.wait)
+        granted = self.permitted and self.decision.granted
+        return PermitAnswer(granted, self.decision.wait)
 
     def announce_limit(self, name: str, rate: float | None) -> None:
         """Set the rate limit that a target announced to another entry."""
@@ -307,7 +307,7 @@
             (shorten(self.planner.plan(request).digest),) if request else ()
             for request in (let_through, keep_out)
         ]
-        self.quarantine.orders = Overrides(*heads)
+        self.quarantine.overrides = Overrides(*heads)
 
     def leave(self, name: str) -> None:
         """Announce that a target is leaving."""
@@ -326,7 +326,7 @@
         """Report copies of another entry off a target; 0 ends them."""
         copying = milliseconds > 0
         record = LoadRecord(entry, name, 1, 0, 0, milliseconds, copying)
-        self.board.put(record, tell_time())
+        self.loads.put(record, tell_time())
 
     def report_waiting(
         self, entry: str, service: str, rank: int, waiting: int
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_rests.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_backoffs.py
@@ -1,4 +1,4 @@
-"""Tests of rests: targets that ask an entry to send nothing for a while."""
+"""Tests of backoffs: targets that ask an entry to send nothing for a while."""
 
 import asyncio
 
@@ -24,21 +24,21 @@
 from chivepier.types import Ran
 
 RESERVING = attrs.evolve(ENGINE, reserve_seconds=2.0)
-REFUSAL = AnswerFacts(not_run=True, rest=RequestedBackoff(3.0))
+REFUSAL = AnswerFacts(not_run=True, backoff=RequestedBackoff(3.0))
 
 
 def refuse_with_rest(parts: Parts, *names: str, seconds: float = 3.0) -> None:
     """Make targets refuse all requests and ask for a rest."""
     parts.engines.refuse |= set(names)
     parts.engines.refusal = attrs.evolve(
-        REFUSAL, rest=RequestedBackoff(seconds)
+        REFUSAL, backoff=RequestedBackoff(seconds)
     )
 
 
 def record_rest(parts: Parts, *names: str, seconds: float = 3.0) -> None:
     """Record that targets have asked this entry for a rest."""
     for name in names:
-        parts.rests.add(name, 0, seconds, tell_time())
+        parts.backoffs.add(name, 0, seconds, tell_time())
 
 
 def count_sends(parts: Parts, name: str) -> int:
@@ -188,7 +188,7 @@
     async def test(parts):
         parts.engines.full.add("a")
         parts.engines.full_facts = AnswerFacts(
-            rest=RequestedBackoff(5.0), limit=None
+            backoff=RequestedBackoff(5.0), limit=None
         )
         tasks = []
         for _ in range(5):
@@ -260,9 +260,9 @@
         answer_all(parts)
         record_rest(parts, "w-a", seconds=0.05)
         await asyncio.sleep(0.06)
-        parts.engines.facts = AnswerFacts(rest=NoBackoff())
+        parts.engines.facts = AnswerFacts(backoff=NoBackoff())
         await parts.serve(make_request("/plain/x"))
-        assert not parts.rests
+        assert not parts.backoffs
 
     play(test, "a")
 
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_headerrecorder.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_headerrecorder.py
@@ -31,14 +31,14 @@
         self.metrics = Metrics()
         log = EventLog("e1", self._lines.fileno(), lambda: 0.0)
         self.limits = LimitTable("e1")
-        self.rests = BackoffTable(random.Random(1))
+        self.backoffs = BackoffTable(random.Random(1))
         self.clock = ManualClock()
         self.table = TargetTable(1.0)
-        self.leavers = LeavingTargets(self.table)
+        self.leaving_targets = LeavingTargets(self.table)
         self.recorder = HeaderRecorder(
             self.limits,
-            self.rests,
-            self.leavers,
+            self.backoffs,
+            self.leaving_targets,
             self.table,
             self.clock,
             log,
@@ -100,7 +100,7 @@
 def test_rest_is_logged_once_and_counted_each_time():
     fixture = RecorderFixture()
     for _ in range(3):
-        fixture.record(rest=RequestedBackoff(3.0))
+        fixture.record(backoff=RequestedBackoff(3.0))
     (line,) = fixture.read_lines()
     assert (line["event"], line["seconds"]) == ("rest_asked", 3.0)
     counted = b'chivepier_rests_total{service="llm"} 3.0'
@@ -109,17 +109,17 @@
 
 def test_invalid_rest_is_logged_and_not_recorded():
     fixture = RecorderFixture()
-    fixture.record(rest=InvalidBackoff())
-    fixture.record(rest=NoBackoff())
+    fixture.record(backoff=InvalidBackoff())
+    fixture.record(backoff=NoBackoff())
     (line,) = fixture.read_lines()
     assert line["header"] == "rest that is no number"
-    assert not fixture.rests
+    assert not fixture.backoffs
 
 
 def test_rest_of_another_instance_at_the_address_is_ignored():
     fixture = RecorderFixture()
-    fixture.record(rest=RequestedBackoff(3.0), other_instance="i2")
-    assert not fixture.rests
+    fixture.record(backoff=RequestedBackoff(3.0), other_instance="i2")
+    assert not fixture.backoffs
 
 
 def test_target_that_leaves_is_logged_once():
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_leaving.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_leaving.py
@@ -12,8 +12,8 @@
 from chivepier.gateway.serving.tests.parts import finish
 from chivepier.gateway.serving.tests.parts import make_request
 from chivepier.gateway.serving.tests.parts import play
-from chivepier.gateway.serving.tests.test_rests import answer_all
-from chivepier.gateway.serving.tests.test_rests import count_sends
+from chivepier.gateway.serving.tests.test_backoffs import answer_all
+from chivepier.gateway.serving.tests.test_backoffs import count_sends
 from chivepier.types import ErrorKind
 from chivepier.types import Ran
 
@@ -38,7 +38,7 @@
 def test_ready_announcement_does_not_revoke_a_leaving_notice():
     async def test(parts):
         answer_all(parts)
-        parts.leavers.record(make_target("w-a", "web"), 0.0)
+        parts.leaving_targets.record(make_target("w-a", "web"), 0.0)
         for number in (1, 2, 3):
             again = make_target("w-a", "web")
             again.number = number
@@ -78,7 +78,7 @@
 def test_leaving_notice_moves_running_generations():
     async def test(parts):
         caller, task, run = await begin(parts)
-        parts.leavers.record(make_target(run.target), 0.0)
+        parts.leaving_targets.record(make_target(run.target), 0.0)
         again = await parts.engines.wait_run(2)
         assert again.target != run.target
         await finish(task, again, 2)
@@ -108,7 +108,7 @@
         stands = parts.engines.hold_connection("w-a")
         calls = [parts.start(make_request("/plain/x"))[1] for _ in range(6)]
         await asyncio.sleep(0.05)
-        parts.leavers.record(make_target("w-a", "web"), 0.0)
+        parts.leaving_targets.record(make_target("w-a", "web"), 0.0)
         stands.set()
         await asyncio.gather(*calls)
         assert count_sends(parts, "w-a") == 0
@@ -119,7 +119,7 @@
 def test_callers_are_told_at_once_when_all_targets_leave():
     async def test(parts):
         for name in ("w-a", "w-b"):
-            parts.leavers.record(make_target(name, "web"), 0.0)
+            parts.leaving_targets.record(make_target(name, "web"), 0.0)
         async with asyncio.timeout(0.5):
             failure = await fail(parts, make_request("/plain/x"))
         assert failure.kind is ErrorKind.NO_TARGET
@@ -135,7 +135,7 @@
         parts.restart("w-a", 5)
         new = parts.table.get("w-a")
         new.service = "web"
-        parts.leavers.record(old, 0.0)
+        parts.leaving_targets.record(old, 0.0)
         await parts.serve(make_request("/plain/x"))
         assert count_sends(parts, "w-a") == 1
         assert not parts.table.is_leaving("w-a")
@@ -145,7 +145,7 @@
 
 def test_leaving_notice_of_an_unknown_target_counts():
     async def test(parts):
-        parts.leavers.record(make_target("w-z", "web"), 0.0)
+        parts.leaving_targets.record(make_target("w-z", "web"), 0.0)
         parts.table.put(make_target("w-z", "web"))
         assert parts.table.is_leaving("w-z")
 
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_limits.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_limits.py
@@ -40,7 +40,7 @@
 def test_requests_above_a_rate_limit_go_to_other_targets():
     async def test(parts):
         parts.announce_limit("w-a", 1.5)
-        parts.turn = REFUSED
+        parts.decision = REFUSED
         assert set(await answer_plain(parts, 6)) == {"w-b"}
 
     play(test, "a", "b")
@@ -52,7 +52,7 @@
     async def test(parts):
         parts.announce_limit("w-a", 1.5)
         parts.announce_limit("a", 1.5)
-        parts.turn = REFUSED
+        parts.decision = REFUSED
         caller, task = parts.start(make_request(path))
         run = await parts.engines.wait_run(1)
         await finish(task, run, 1)
@@ -81,7 +81,7 @@
     async def test(parts):
         for name in ("a", "b", "w-a", "w-b"):
             parts.announce_limit(name, 0.5)
-        parts.turn = REFUSED
+        parts.decision = REFUSED
         failures = [await fail(parts, make_request(path)) for _ in range(3)]
         assert {f.kind for f in failures} == {ErrorKind.OVERLOADED}
         assert {f.ran for f in failures} == {Ran.NO}
@@ -103,8 +103,8 @@
     async def test(parts):
         parts.announce_limit("w-a", 0.5)
         parts.announce_limit("w-b", 0.5)
-        parts.turn = REFUSED
-        parts.dispatcher.chooser.avoid_unreachable("w-c")
+        parts.decision = REFUSED
+        parts.dispatcher.balancer.avoid_unreachable("w-c")
         assert await answer_plain(parts) == ["w-c"]
 
     play(test, "a", "b", "c")
@@ -115,7 +115,7 @@
     # all targets had reached their limits.
     async def test(parts):
         parts.announce_limit("w-a", 0.5)
-        parts.turn = REFUSED
+        parts.decision = REFUSED
         parts.engines.refuse.add("w-b")
         caller, task = parts.start(make_request("/plain/x"))
         while not parts.engines.orders:
@@ -162,7 +162,7 @@
     async def test(parts):
         caller, task, run = await begin(parts)
         parts.announce_limit("a", 0.0)
-        parts.turn = REFUSED
+        parts.decision = REFUSED
         await finish(task, run, 5)
         assert caller.finished and not caller.aborted
 
@@ -188,10 +188,10 @@
     async def test(parts):
         for name in ("b", "c", "d"):
             parts.announce_limit(name, 5.0)
-        chooser = parts.dispatcher.chooser
+        balancer = parts.dispatcher.balancer
         source = parts.table.get("a")
         for _ in range(10):
-            target = chooser.choose_destination(
+            target = balancer.choose_destination(
                 "llm", ENGINE, 100, source, {"a"}
             )
             assert target.instance == "e"
@@ -202,13 +202,13 @@
 def test_generation_does_not_wait_for_limited_targets_beside_a_free_one():
     # Each round tried three random targets, all of them rate-limited.
     async def test(parts):
-        parts.turn = REFUSED
+        parts.decision = REFUSED
         service = parts.state.index.services["llm"]
         gate, claim = parts.dispatcher.gate, Claim("t1", 3)
         for number in range(9):
             parts.announce_limit(f"t{number}", 1.0)
             target = parts.table.get(f"t{number}")
-            await gate.take_permit(service, target, claim)
+            await gate.acquire_permit(service, target, claim)
         caller, task = parts.start(make_request())
         run = await parts.engines.wait_run(1)
         await finish(task, run, 1)
@@ -224,7 +224,7 @@
         names = [f"t{n}" for n in range(20)]
         for name in names:
             parts.announce_limit(f"w-{name}", 1.0)
-        parts.turn = REFUSED
+        parts.decision = REFUSED
         await fail(parts, make_request("/plain/x"))
         assert len(parts.claims) == 3
 
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_moving.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_moving.py
@@ -81,7 +81,7 @@
 
         async def hold(source, identity, destination, last, *rest):
             started.set()
-            total = parts.board.get_total(destination.instance, 0.0)
+            total = parts.loads.get_total(destination.instance, 0.0)
             booked[destination.instance] = total.tokens
             await release.wait()
             return await move(source, identity, destination, last, *rest)
@@ -242,7 +242,7 @@
         await asyncio.gather(task, return_exceptions=True)
         await asyncio.sleep(0)
         assert run.closed and len(parts.engines.answers) == 1
-        own = [record for record in parts.board.list_own() if record.runs]
+        own = [record for record in parts.loads.list_own() if record.runs]
         assert not own
 
     play(test, "a", "b")
@@ -268,7 +268,7 @@
         parts.restart(run.target, born=200)
         await task
         assert caller.aborted and caller.numbers == [1, 2]
-        assert not parts.board.get_total(run.target, 0.0).runs
+        assert not parts.loads.get_total(run.target, 0.0).runs
 
     play(test, "a")
 
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_targetassigner.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_targetassigner.py
@@ -118,8 +118,8 @@
     """
 
     async def test(parts):
-        parts.dispatcher.chooser.prefill_estimator.record("llm", 100, reading)
-        parts.board.adjust_own("a", tokens=100_000 - 400)
+        parts.dispatcher.balancer.prefill_estimator.record("llm", 100, reading)
+        parts.loads.adjust_own("a", tokens=100_000 - 400)
         parts.report_waiting("other", "llm", rank=3, waiting=1)
         arrived = make_request().arrived - waited
         caller, task = parts.start(make_request(arrived=arrived))
@@ -139,13 +139,13 @@
     # Otherwise new requests take the room that generations of a leaving target
     # need within its notice period, and those are cut off.
     async def test(parts):
-        parts.board.adjust_own("a", tokens=100_000 - 400)
-        parts.board.adjust_own("b", runs=1, tokens=300)
+        parts.loads.adjust_own("a", tokens=100_000 - 400)
+        parts.loads.adjust_own("b", runs=1, tokens=300)
         parts.leave("b")
         caller, task = parts.start(make_request())
         await wait_until(lambda: parts.queues.list_own())
         assert not parts.engines.orders
-        parts.board.adjust_own("b", runs=-1, tokens=-300)
+        parts.loads.adjust_own("b", runs=-1, tokens=-300)
         answer = await parts.engines.wait_run(1)
         answer.make()
         answer.end()
@@ -166,7 +166,7 @@
     # Otherwise the only target with room gets all prompts and prefills them
     # one after the other.
     async def test(parts):
-        parts.dispatcher.chooser.prefill_estimator.record("llm", 1_000, 2.0)
+        parts.dispatcher.balancer.prefill_estimator.record("llm", 1_000, 2.0)
         started = [parts.start(make_request(id=f"r{n}")) for n in range(5)]
         await wait_until(lambda: parts.queues.count_ahead("llm", 9, 0.0) == 3)
         assert len(parts.engines.answers) == 2
--- a/packages/gateway/src/chivepier/gateway/targets/__init__.py
+++ b/packages/gateway/src/chivepier/gateway/targets/__init__.py
@@ -17,17 +17,17 @@
 from chivepier.gateway.targets.targettable import TargetTable
 
 __all__ = [
-    "LoadBalancer",
+    "DecodeEstimator",
     "Demand",
-    "REPORT_EXPIRY_SECONDS",
     "LeavingTargets",
     "Liveness",
     "Load",
+    "LoadBalancer",
     "LoadTracker",
-    "QueueTracker",
     "NEAR_TERM_OUTPUT_TOKENS",
     "PrefillEstimator",
-    "DecodeEstimator",
+    "QueueTracker",
+    "REPORT_EXPIRY_SECONDS",
     "Target",
     "TargetHealth",
     "TargetState",
--- a/packages/gateway/src/chivepier/gateway/targets/loadbalancer.py
+++ b/packages/gateway/src/chivepier/gateway/targets/loadbalancer.py
@@ -56,12 +56,12 @@
 
     :param table: known targets
     :param health: health of the targets
-    :param board: load of the targets
+    :param loads: load of the targets
     :param zone: availability zone of this node
     :param clock: source of monotonic time
     :param rng: random source for the choice among equivalent targets
     :param limits: rate limits that targets announced; none by default
-    :param rests: targets that asked for no requests for a while; none by
+    :param backoffs: targets that asked for no requests for a while; none by
         default
     """
 
@@ -69,18 +69,18 @@
         self,
         table: TargetTable,
         health: TargetHealth,
-        board: LoadTracker,
+        loads: LoadTracker,
         zone: str,
         clock: Clock,
         rng: random.Random,
         limits: LimitTable | None = None,
-        rests: BackoffTable | None = None,
+        backoffs: BackoffTable | None = None,
     ):
-        self._rests = BackoffTable(rng) if rests is None else rests
+        self._backoffs = BackoffTable(rng) if backoffs is None else backoffs
         self._limits = LimitTable() if limits is None else limits
         self._table = table
         self._health = health
-        self._loads = board
+        self._loads = loads
         self._zone = zone
         self._clock = clock
         self._rng = rng
@@ -168,7 +168,7 @@
         now: float,
         regions: collections.abc.Collection[str] | None,
     ) -> list[Target]:
-        found = self._select_not_resting(service, now, regions)
+        found = self._select_available(service, now, regions)
         candidates = [t for t in found if t.instance not in without]
         if not candidates:
             return []
@@ -179,7 +179,7 @@
             [t for t in candidates if t.instance in healthy], now
         )
 
-    def _select_not_resting(
+    def _select_available(
         self,
         service: str,
         now: float,
@@ -187,12 +187,12 @@
     ) -> list[Target]:
         """Return the targets that did not ask for a pause."""
         found = self._table.select(service, now, regions)
-        if not self._rests:
+        if not self._backoffs:
             return found
-        return [t for t in found if self._find_rest(t, now) is None]
+        return [t for t in found if self._find_delay(t, now) is None]
 
-    def _find_rest(self, target: Target, now: float) -> float | None:
-        return self._rests.find_delay(target.instance, target.born, now)
+    def _find_delay(self, target: Target, now: float) -> float | None:
+        return self._backoffs.find_delay(target.instance, target.born, now)
 
     def select(
         self,
@@ -204,11 +204,11 @@
         :param service: name of the service
         :param regions: regions that the request may reach; ``None`` for all
         """
-        return self._select_not_resting(
+        return self._select_available(
             service, self._clock.monotonic(), regions
         )
 
-    def find_shortest_rest(
+    def find_shortest_backoff(
         self,
         service: str,
         regions: collections.abc.Collection[str] | None = None,
@@ -220,11 +220,11 @@
         :returns: ``None`` if any target accepts requests now, or if none is
             known
         """
-        if not self._rests:
+        if not self._backoffs:
             return None
         now = self._clock.monotonic()
         found = self._table.select(service, now, regions)
-        pauses = [self._find_rest(target, now) for target in found]
+        pauses = [self._find_delay(target, now) for target in found]
         if not pauses or None in pauses:
             return None
         return min(pauses)
@@ -236,8 +236,8 @@
         with that of the least avoided target.
         """
         counts = [self._loads.count_avoiding(t.instance, now) for t in targets]
-        most = min(counts) + MIN_AVOIDING_ENTRIES
-        return [t for t, count in zip(targets, counts) if count < most]
+        limit = min(counts) + MIN_AVOIDING_ENTRIES
+        return [t for t, count in zip(targets, counts) if count < limit]
 
     def choose_destination(
         self,
@@ -345,7 +345,7 @@
         """Return the load of a target over all entries."""
         return self._loads.get_total(instance, self._clock.monotonic())
 
-    def count_free_places(
+    def count_fitting(
         self,
         service: str,
         engine: Engine,
@@ -360,12 +360,12 @@
         :param regions: regions that they may reach; ``None`` for all
         """
         now = self._clock.monotonic()
-        places = 0
-        for target in self._select_not_resting(service, now, regions):
+        fitting = 0
+        for target in self._select_available(service, now, regions):
             tokens = self._loads.get_total(target.instance, now).tokens
             spare = max(0.0, MAX_MEMORY_SHARE * engine.memory_tokens - tokens)
-            places += int(spare // max(1, demand.near_term_tokens))
-        return places
+            fitting += int(spare // max(1, demand.near_term_tokens))
+        return fitting
 
     def count_leaving(self, service: str) -> int:
         """Count the generations whose target leaves.
--- a/packages/gateway/src/chivepier/gateway/targets/tests/test_loadbalancer.py
+++ b/packages/gateway/src/chivepier/gateway/targets/tests/test_loadbalancer.py
@@ -23,12 +23,12 @@
     def __init__(self, *names: str):
         self.table = TargetTable(1.0)
         self.health = TargetHealth()
-        self.board = LoadTracker("me")
+        self.loads = LoadTracker("me")
         self.clock = ManualClock()
         self.balancer = LoadBalancer(
             self.table,
             self.health,
-            self.board,
+            self.loads,
             "z",
             self.clock,
             random.Random(1),
@@ -39,7 +39,7 @@
     def load(self, name, runs=0, tokens=0, reading=0, entry="other"):
         """Report the load of another entry."""
         record = LoadRecord(entry, name, runs, tokens, reading, 0)
-        self.board.put(record, self.clock.monotonic())
+        self.loads.put(record, self.clock.monotonic())
 
     def pick(self, **options):
         """Choose a target for a generation."""
@@ -135,7 +135,7 @@
         )
 
     assert find().instance == "b"
-    choice.board.adjust_own("b", tokens=4_000, receiving=1)
+    choice.loads.adjust_own("b", tokens=4_000, receiving=1)
     assert find().instance == "c"
     assert find(25_000).instance == "b"
     assert find(31_000) is None
@@ -156,8 +156,8 @@
 def test_entry_that_copies_already_is_not_interrupted():
     choice = Choice("a")
     record = LoadRecord("z-last", "a", 1, 10, 0, 500, True)
-    choice.board.put(record, 0.0)
-    assert choice.board.get_copy_wait_ms("a", 0.0) == 500
+    choice.loads.put(record, 0.0)
+    assert choice.loads.get_copy_wait_ms("a", 0.0) == 500
 
 
 def test_emptiest_target_gets_only_a_share_of_a_burst():
@@ -184,8 +184,8 @@
     choice = Choice("a")
     for entry, turn in (("a-first", 300), ("z-last", 500)):
         record = LoadRecord(entry, "a", 1, 10, 0, turn)
-        choice.board.put(record, 0.0)
-    assert choice.board.get_copy_wait_ms("a", 0.0) == 300
+        choice.loads.put(record, 0.0)
+    assert choice.loads.get_copy_wait_ms("a", 0.0) == 300
 
 
 def test_copies_stay_in_their_zone_while_many_are_pending():
@@ -200,12 +200,12 @@
         ).instance
 
     choice.load("near", runs=6, tokens=24_000)
-    choice.board.set_copy_time("a", 800)
-    choice.board.put(LoadRecord("other", "a", 4, 16_000, 0, 1_200), 0.0)
+    choice.loads.set_copy_time("a", 800)
+    choice.loads.put(LoadRecord("other", "a", 4, 16_000, 0, 1_200), 0.0)
     assert find() == "near"
-    choice.board.put(LoadRecord("other", "a", 0, 0, 0, 0), 0.0)
+    choice.loads.put(LoadRecord("other", "a", 0, 0, 0, 0), 0.0)
     assert find() == "far"
-    choice.board.set_copy_time("a", 3_000)
+    choice.loads.set_copy_time("a", 3_000)
     choice.load("near", runs=8, tokens=31_000)
     assert find() == "far"
 
--- a/tests/adapter/test_heads.py
+++ b/tests/adapter/test_heads.py
@@ -98,7 +98,7 @@
         reply = await send(
             targets, raw.make_target(), rawtarget.make_request(), ORDER
         )
-        assert reply.facts.rest == rest
+        assert reply.facts.backoff == rest
         assert reply.facts.unknown_headers == ()
 
     run(script, test)
--- a/tests/adapter/test_targets.py
+++ b/tests/adapter/test_targets.py
@@ -527,6 +527,6 @@
         contact = Free()
         await CALLS[kind](targets, raw.make_target(), contact)
         (facts,) = contact.heard
-        assert (facts.rest, facts.leaving) == (RequestedBackoff(2.0), True)
+        assert (facts.backoff, facts.leaving) == (RequestedBackoff(2.0), True)
 
     run(script, test)
