--- a/packages/gateway/src/chivepier/gateway/serving/targetassigner.py
+++ b/packages/gateway/src/chivepier/gateway/serving/targetassigner.py
@@ -280,7 +280,7 @@
         claim = self._make_claim(plan, may_wait=False)
         found = [
             target
-            for target in self._rank_targets(plan, tried, roomy=True)
+            for target in self._rank_targets(plan, tried, exclude_full=True)
             if self._gate.find_backoff(target, claim) is None
         ]
         return found[:MAX_TARGETS_PER_ROUND]
@@ -303,7 +303,7 @@
         return fitting > ahead
 
     def _rank_targets(
-        self, plan: Plan, tried: set[str], roomy: bool = False
+        self, plan: Plan, tried: set[str], exclude_full: bool = False
     ) -> list[Target]:
         service = plan.service
         return self._balancer.rank(
@@ -311,7 +311,7 @@
             service.engine,
             plan.demand,
             tried,
-            roomy=roomy,
+            exclude_full=exclude_full,
             regions=plan.regions,
         )
 
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_backoffs.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_backoffs.py
@@ -27,7 +27,9 @@
 REFUSAL = AnswerFacts(not_run=True, backoff=RequestedBackoff(3.0))
 
 
-def refuse_with_rest(parts: Parts, *names: str, seconds: float = 3.0) -> None:
+def refuse_with_backoff(
+    parts: Parts, *names: str, seconds: float = 3.0
+) -> None:
     """Make targets refuse all requests and ask for a rest."""
     parts.engines.refuse |= set(names)
     parts.engines.refusal = attrs.evolve(
@@ -35,7 +37,7 @@
     )
 
 
-def record_rest(parts: Parts, *names: str, seconds: float = 3.0) -> None:
+def record_backoff(parts: Parts, *names: str, seconds: float = 3.0) -> None:
     """Record that targets have asked this entry for a rest."""
     for name in names:
         parts.backoffs.add(name, 0, seconds, tell_time())
@@ -62,7 +64,7 @@
 def test_target_at_rest_is_sent_no_other_request():
     async def test(parts):
         answer_all(parts)
-        refuse_with_rest(parts, "w-a")
+        refuse_with_backoff(parts, "w-a")
         for _ in range(40):
             await parts.serve(make_request("/plain/x"))
         assert count_sends(parts, "w-a") == 1
@@ -81,7 +83,7 @@
         stands = parts.engines.hold_connection("w-a")
         calls = [parts.start(make_request("/plain/x"))[1] for _ in range(6)]
         await asyncio.sleep(0.05)
-        record_rest(parts, "w-a")
+        record_backoff(parts, "w-a")
         stands.set()
         await asyncio.gather(*calls)
         assert count_sends(parts, "w-a") == 0
@@ -92,8 +94,8 @@
 
 def test_request_is_refused_at_once_when_all_targets_are_at_rest():
     async def test(parts):
-        record_rest(parts, "w-a", seconds=3.0)
-        record_rest(parts, "w-b", seconds=2.0)
+        record_backoff(parts, "w-a", seconds=3.0)
+        record_backoff(parts, "w-b", seconds=2.0)
         began = tell_time()
         failures = [
             await fail(parts, make_request("/plain/x")) for _ in range(20)
@@ -114,7 +116,7 @@
 def test_refusals_of_all_targets_end_a_request_at_once():
     # The request was sent to each target three times and used up retries.
     async def test(parts):
-        refuse_with_rest(parts, "w-a", "w-b")
+        refuse_with_backoff(parts, "w-a", "w-b")
         failure = await fail(parts, make_request("/plain/x"))
         assert failure.kind is ErrorKind.OVERLOADED
         assert len(parts.engines.orders) == 2
@@ -128,7 +130,7 @@
 def test_request_waits_for_a_rest_that_ends_within_its_objective():
     async def test(parts):
         answer_all(parts)
-        record_rest(parts, "w-a", "w-b", seconds=0.2)
+        record_backoff(parts, "w-a", "w-b", seconds=0.2)
         await parts.serve(make_request("/plain/x"))
         assert len(parts.engines.orders) == 1
 
@@ -137,7 +139,7 @@
 
 def test_requests_that_wait_for_the_end_of_a_rest_are_not_sent_in_a_burst():
     async def test(parts):
-        record_rest(parts, "w-a", seconds=0.2)
+        record_backoff(parts, "w-a", seconds=0.2)
         parts.engines.heads.clear()
         calls = [parts.start(make_request("/plain/x"))[1] for _ in range(5)]
         run = await parts.engines.wait_run(1)
@@ -156,7 +158,7 @@
 @pytest.mark.parametrize("full", (False, True))
 def test_target_at_rest_is_asked_for_no_reservation(full):
     async def test(parts):
-        record_rest(parts, "a")
+        record_backoff(parts, "a")
         if full:
             parts.engines.full.add("b")
         _, task = parts.start(make_request("/llm/x"))
@@ -173,7 +175,7 @@
 
 def test_generation_is_refused_at_once_when_all_rests_are_too_long():
     async def test(parts):
-        record_rest(parts, "a", "b", seconds=8.0)
+        record_backoff(parts, "a", "b", seconds=8.0)
         began = tell_time()
         failure = await fail(parts, make_request("/llm/x"))
         assert tell_time() - began < 0.5
@@ -206,7 +208,7 @@
     async def test(parts):
         caller, task, run = await begin(parts)
         source = run.target
-        record_rest(parts, source, seconds=0.4)
+        record_backoff(parts, source, seconds=0.4)
         parts.leave(source)
         await asyncio.sleep(0.25)
         assert parts.engines.moves == []
@@ -220,7 +222,7 @@
 
 def test_target_at_rest_is_sent_no_control_call_or_probe():
     async def test(parts):
-        record_rest(parts, "a")
+        record_backoff(parts, "a")
         calls = parts.dispatcher.calls
         target = make_target("a")
         assert not await calls.drop(target, "h1")
@@ -242,7 +244,7 @@
         async def move_and_ask(*args):
             moved = await move(*args)
             if args[3]:
-                record_rest(parts, other, seconds=9.0)
+                record_backoff(parts, other, seconds=9.0)
             return moved
 
         parts.engines.move = move_and_ask
@@ -258,7 +260,7 @@
 def test_expired_rest_is_removed_by_an_answer_without_one():
     async def test(parts):
         answer_all(parts)
-        record_rest(parts, "w-a", seconds=0.05)
+        record_backoff(parts, "w-a", seconds=0.05)
         await asyncio.sleep(0.06)
         parts.engines.facts = AnswerFacts(backoff=NoBackoff())
         await parts.serve(make_request("/plain/x"))
@@ -270,7 +272,7 @@
 def test_restarted_target_is_not_at_rest():
     async def test(parts):
         answer_all(parts)
-        record_rest(parts, "w-a", seconds=9.0)
+        record_backoff(parts, "w-a", seconds=9.0)
         target = make_target("w-a", "web")
         target.born = 5
         parts.table.put(target)
@@ -285,7 +287,7 @@
     # remains for a retry.
     async def test(parts):
         parts.configure(services=(Service(name="web", connections=9),))
-        record_rest(parts, "w-a")
+        record_backoff(parts, "w-a")
         parts.engines.failing["w-b"] = 500
         caller = await parts.serve(make_request("/read/x"))
         assert caller.status == 500
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_zonerules.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_zonerules.py
@@ -363,7 +363,7 @@
     async def test(parts):
         put(parts, "a1", "a")
         put(parts, "b1", "b")
-        parts.freshness._heard -= 60.0
+        parts.freshness._updated_at -= 60.0
         asked = asyncio.Event()
         parts.freshness.request_update = asked.set
         _, task = parts.start(make_request("/llm/x"))
@@ -382,7 +382,7 @@
     async def test(parts):
         put(parts, "w-a1", "a", "web")
         parts.engines.failing["w-a1"] = 200
-        parts.freshness._heard -= 60.0
+        parts.freshness._updated_at -= 60.0
         asked = []
         parts.freshness.request_update = lambda: asked.append(1)
         for _ in range(3):
--- a/packages/gateway/src/chivepier/gateway/targets/loadbalancer.py
+++ b/packages/gateway/src/chivepier/gateway/targets/loadbalancer.py
@@ -140,12 +140,12 @@
         engine: Engine | None,
         demand: Demand | None,
         without: collections.abc.Collection[str] = (),
-        roomy: bool = False,
+        exclude_full: bool = False,
         regions: collections.abc.Collection[str] | None = None,
     ) -> list[Target]:
         """Return the targets, the best first; see :meth:`choose`.
 
-        :param roomy: whether full targets are excluded
+        :param exclude_full: whether full targets are excluded
         :param regions: regions that the request may reach; ``None`` for all
         """
         now = self._clock.monotonic()
@@ -153,7 +153,7 @@
         costs = {
             t.instance: self._get_cost(t, engine, demand, now)
             for t in healthy
-            if not roomy or self.has_room(t, engine, demand)
+            if not exclude_full or self.has_room(t, engine, demand)
         }
         if not costs:
             return []
--- a/packages/gateway/src/chivepier/gateway/targets/loadtracker.py
+++ b/packages/gateway/src/chivepier/gateway/targets/loadtracker.py
@@ -20,8 +20,8 @@
     :param own_entry: name of this entry
     """
 
-    def __init__(self, me: str):
-        self.own_entry = me
+    def __init__(self, own_entry: str):
+        self.own_entry = own_entry
         self.changed = Signal()
         self._loads: dict[str, dict[str, EntryLoad]] = collections.defaultdict(
             dict
--- a/packages/gateway/src/chivepier/gateway/targets/queuetracker.py
+++ b/packages/gateway/src/chivepier/gateway/targets/queuetracker.py
@@ -18,8 +18,8 @@
     :param changed: set whenever the counts of this entry change
     """
 
-    def __init__(self, me: str, changed: Signal):
-        self.own_entry = me
+    def __init__(self, own_entry: str, changed: Signal):
+        self.own_entry = own_entry
         self._changed = changed
         self._own: collections.Counter[tuple[str, int]] = collections.Counter()
         self._remote: dict[tuple[str, int], dict[str, tuple[int, float]]] = (
--- a/packages/gateway/src/chivepier/gateway/zones/freshness.py
+++ b/packages/gateway/src/chivepier/gateway/zones/freshness.py
@@ -26,14 +26,14 @@
 
     def __init__(self, clock: Clock):
         self._clock = clock
-        self._heard = clock.monotonic()
+        self._updated_at = clock.monotonic()
         self._timed_out_at: float | None = None
         self._updated = Signal()
         self.request_update: collections.abc.Callable[[], None] = lambda: None
 
     def note_update(self) -> None:
         """Record an update from a voter."""
-        self._heard = self._clock.monotonic()
+        self._updated_at = self._clock.monotonic()
         self._timed_out_at = None
         self._updated.set()
 
@@ -42,7 +42,7 @@
         """Whether requests may be sent without waiting for an update."""
         if self._timed_out_at is not None:
             return True
-        return self._clock.monotonic() - self._heard <= MAX_AGE_SECONDS
+        return self._clock.monotonic() - self._updated_at <= MAX_AGE_SECONDS
 
     async def wait(self) -> None:
         """Wait for an update if the orders are stale, up to a timeout."""
