--- a/packages/gateway/src/chivepier/gateway/limits/backofftable.py
+++ b/packages/gateway/src/chivepier/gateway/limits/backofftable.py
@@ -8,7 +8,7 @@
 # will have restarted by then, which ends the backoff.
 MAX_BACKOFF_SECONDS = 3600.0
 # Jitter as a fraction of the backoff, and its upper bound. Without it, entries
-# that were told to back off together would return together.
+# whose backoffs began together would return together.
 JITTER_RATIO = 0.1
 MAX_JITTER_SECONDS = 0.5
 # Time for the answer to the first request after a backoff. Others wait for it,
@@ -28,7 +28,7 @@
 class BackoffTable:
     """Tracks when each target may be sent requests again.
 
-    A backoff applies to the entry that was told, and is not shared: a target
+    A backoff applies to the entry that got it, and is not shared: a target
     slightly over capacity rejects a few entries and would be idle if all of
     them backed off. It applies to one incarnation of the target.
 
--- a/packages/gateway/src/chivepier/gateway/permits/fairscheduler.py
+++ b/packages/gateway/src/chivepier/gateway/permits/fairscheduler.py
@@ -17,8 +17,8 @@
 # Target number of claims per turn, whatever the number of entries: the retry
 # times of refused claims are spread accordingly.
 CLAIMS_PER_TURN = 3.0
-# Number of refusals for one turn up to which the claim of highest priority is
-# told the exact time of that turn. Beyond it all retry times are spread: the
+# Number of refusals for one turn up to which the claim of highest priority
+# gets the exact time of that turn. Beyond it all retry times are spread: the
 # load on the leader matters more than the order.
 MAX_UNSPREAD_CLAIMS = 10
 # Maximum seconds until a refused claim may be repeated.
@@ -57,7 +57,7 @@
         now: float,
         led_since: float,
     ) -> SendDecision:
-        """Grant a claim the next turn, or tell when to repeat it.
+        """Grant a claim the next turn, or return when to repeat it.
 
         :param instance: name of the target
         :param rate: rate limit of the target, in requests per second
--- a/packages/gateway/src/chivepier/gateway/permits/fallbacklimiter.py
+++ b/packages/gateway/src/chivepier/gateway/permits/fallbacklimiter.py
@@ -41,7 +41,7 @@
     def acquire(
         self, instance: str, rate: float, claim: Claim, now: float
     ) -> SendDecision:
-        """Grant a claim its turn, or tell when to repeat it.
+        """Grant a claim its turn, or return when to repeat it.
 
         :param instance: name of the target
         :param rate: rate limit of the target over all entries, in requests per
--- a/packages/gateway/src/chivepier/gateway/permits/sendlimiter.py
+++ b/packages/gateway/src/chivepier/gateway/permits/sendlimiter.py
@@ -243,8 +243,9 @@
     ) -> SendDecision:
         """Apply this entry's share of the rate limit without a leader.
 
-        The voter heard last may know few entries, so the share uses the larger
-        of the current count and the count at the leader's last answer.
+        The voter that responded last may know few entries, so the share uses
+        the larger of the current count and the count at the leader's last
+        answer.
         """
         entries = max(self._entry_count, self._count_entries())
         if not self._leaderless:
--- a/packages/gateway/src/chivepier/gateway/serving/answerfacts.py
+++ b/packages/gateway/src/chivepier/gateway/serving/answerfacts.py
@@ -20,7 +20,7 @@
         end of the connection ends it
     :param limit: rate limit of the target; ``None`` if answers of this kind
         carry none
-    :param backoff: how long the target asks this entry to send nothing
+    :param backoff: the backoff that the target requests from this entry
     :param leaving: whether the target announces that it leaves
     :param unknown_headers: names of headers that are not understood
     """
--- a/packages/gateway/src/chivepier/gateway/serving/copyturns.py
+++ b/packages/gateway/src/chivepier/gateway/serving/copyturns.py
@@ -1,4 +1,4 @@
-"""Serializing the memory copies off a leaving target."""
+"""Serializing the copies of KV caches off a leaving target."""
 
 import asyncio
 import collections.abc
--- a/packages/gateway/src/chivepier/gateway/serving/errors.py
+++ b/packages/gateway/src/chivepier/gateway/serving/errors.py
@@ -27,14 +27,14 @@
 
 
 class AllBackedOffError(Exception):
-    """All targets have asked this entry to send nothing for a while.
+    """All targets have requested a backoff that is still in force.
 
     :param seconds: time until the first target may be called, in seconds
     """
 
     def __init__(self, seconds: float):
         super().__init__(
-            f"all targets asked for a rest, the first for {seconds:.3f} s"
+            f"all targets back off, the first for {seconds:.3f} s"
         )
         self.seconds = seconds
 
--- a/packages/gateway/src/chivepier/gateway/serving/handoff.py
+++ b/packages/gateway/src/chivepier/gateway/serving/handoff.py
@@ -1,4 +1,4 @@
-"""Where a moved generation resumes."""
+"""Where a migrated generation resumes."""
 
 import attrs
 
@@ -8,10 +8,10 @@
 
 @attrs.frozen
 class Handoff:
-    """The next target of a generation, and the memory it resumes from.
+    """The next target of a generation and the KV cache to resume from.
 
     :param target: target to send the request to
-    :param origin: the copied memory; ``None`` to start over from the prompt
+    :param origin: the copied KV cache; ``None`` to start over from the prompt
     """
 
     target: Target
--- a/packages/gateway/src/chivepier/gateway/serving/headerrecorder.py
+++ b/packages/gateway/src/chivepier/gateway/serving/headerrecorder.py
@@ -21,7 +21,7 @@
 MAX_UNKNOWN_HEADERS = 32
 # Name under which a rate limit that can't be parsed is counted.
 INVALID_LIMIT = "limit that is no number"
-# Name under which a rest that can't be parsed is counted.
+# Name under which a backoff that can't be parsed is counted.
 INVALID_BACKOFF = "rest that is no number"
 
 
@@ -32,7 +32,7 @@
     support, so its first occurrence at any target is logged.
 
     :param limits: rate limits of targets
-    :param backoffs: targets that asked to be sent nothing for a while
+    :param backoffs: targets that requested a backoff
     :param leaving_targets: targets that announced that they leave
     :param table: the known targets
     :param clock: monotonic clock
@@ -143,5 +143,5 @@
 
 
 def get_backoff_seconds(backoff: Backoff) -> float | None:
-    """Return the length of a rest in seconds, for the event log."""
+    """Return the requested backoff in seconds, for the event log."""
     return backoff.seconds if isinstance(backoff, RequestedBackoff) else None
--- a/packages/gateway/src/chivepier/gateway/serving/liverun.py
+++ b/packages/gateway/src/chivepier/gateway/serving/liverun.py
@@ -39,7 +39,7 @@
     :param first_event_at: when its target sent the first event, in monotonic
         seconds; ``None`` until then
     :param handoff: result of the migration in progress, if any
-    :param stopped: whether its target was told to stop it for a migration
+    :param stopped: whether its target was ordered to stop it for a migration
     :param stop_uncertain: whether the order to stop may not have arrived
     :param moved: whether it has been resumed at another target
     :param ended: whether its relaying has ended
--- a/packages/gateway/src/chivepier/gateway/serving/moveoutcome.py
+++ b/packages/gateway/src/chivepier/gateway/serving/moveoutcome.py
@@ -1,4 +1,4 @@
-"""Outcome of an order to copy a generation's memory."""
+"""Outcome of an order to copy the KV cache of a generation."""
 
 import enum
 
--- a/packages/gateway/src/chivepier/gateway/serving/mover.py
+++ b/packages/gateway/src/chivepier/gateway/serving/mover.py
@@ -1,4 +1,4 @@
-"""Moving running generations off targets that are leaving."""
+"""Migrates running generations off targets that are leaving."""
 
 import asyncio
 import collections.abc
@@ -43,15 +43,15 @@
 class Mover:
     """Tracks running generations and moves those on leaving targets.
 
-    The memory of a generation is copied once while it keeps running. Then it
-    is stopped, and what was added meanwhile is copied. So the caller's stream
-    pauses only for the second copy, which takes some milliseconds.
+    The KV cache of a generation is copied once while it keeps running. Then
+    it is stopped, and what was added meanwhile is copied. So the caller's
+    stream pauses only for the second copy, which takes some milliseconds.
 
     :param calls: sends copy orders to targets
     :param balancer: ranks destinations
     :param table: the known targets and their states
     :param loads: loads of targets, and what other entries have to copy
-    :param guard: tells which requests are held back
+    :param guard: tells which requests are quarantined
     :param clock: source of monotonic time
     :param log: receives the events of moves
     :param metrics: counts copies
@@ -133,7 +133,7 @@
         The connection to a target that became unreachable is never closed, so
         callers whose request may run only once would wait until their
         deadline. A target that has lost only the voters still sends data, and
-        its generations go on.
+        its generations continue.
         """
         now = self._clock.monotonic()
         for name, runs in list(self._runs.items()):
@@ -159,10 +159,10 @@
         return await self._calls.probe(last.target) is Liveness.ENDED
 
     def cancel_held_back(self, digest: str) -> None:
-        """Cancel sends of a held-back request that have not started to run.
+        """Cancel sends of a quarantined request that have not started to run.
 
-        A request is held back after three targets ended under it. Targets may
-        still be reading further sends of the same request; they drop a
+        A request is quarantined after three targets ended under it. Targets
+        may still be reading further sends of the same request; they drop a
         request whose sender disconnects before it runs.
 
         :param digest: digest of the request
@@ -208,7 +208,7 @@
             self._turns.forget(source)
 
     async def _copy_in_turn(self, run: LiveRun) -> Handoff | None:
-        """Copy the memory once the run has started and a target has room.
+        """Copy the KV cache once the run has begun and a target has room.
 
         At a busy service each target finishes about one generation a second,
         so a destination is searched until the source ends.
@@ -268,7 +268,7 @@
                 return moved.outcome, Handoff(target, origin)
             case MoveOutcome.NO_ROOM if moved.handle:
                 # stopped, but no room for the second copy: the source
-                # keeps the memory, and the generation resumes there
+                # keeps the KV cache, and the generation resumes there
                 return moved.outcome, Handoff(source, origin)
             case MoveOutcome.NOT_SENT if run.lost.is_set():
                 return moved.outcome, copy
@@ -286,7 +286,7 @@
     async def _stop_and_copy(
         self, run: LiveRun, source: Target, target: Target
     ) -> MoveResult:
-        """Order the source to stop the run and to copy the rest.
+        """Order the source to stop the run and to copy the remainder.
 
         An order that was not sent is repeated after a pause: the run was not
         stopped by it, and if its stream ends meanwhile it is complete.
@@ -306,7 +306,7 @@
         """Free the copy of a generation that has finished.
 
         :param run: the run, which ended complete
-        :param copy: the copy that was made of its memory
+        :param copy: the copy that was made of its KV cache
         """
         self._track_task(asyncio.create_task(self._drop_copy(run, copy)))
 
--- a/packages/gateway/src/chivepier/gateway/serving/moveresult.py
+++ b/packages/gateway/src/chivepier/gateway/serving/moveresult.py
@@ -1,4 +1,4 @@
-"""Result of a copy of a generation's memory."""
+"""Result of a copy of the KV cache of a generation."""
 
 import attrs
 
@@ -7,11 +7,11 @@
 
 @attrs.frozen
 class MoveResult:
-    """The outcome of a copy, and the handle of the copied memory.
+    """The outcome of a copy, and the handle of the copied KV cache.
 
     :param outcome: whether the copy is complete
     :param handle: identifies the copy; after ``NO_ROOM`` for a stopped run,
-        the memory that the source still holds; otherwise empty
+        the KV cache that the source still holds; otherwise empty
     """
 
     outcome: MoveOutcome
--- a/packages/gateway/src/chivepier/gateway/serving/sendgate.py
+++ b/packages/gateway/src/chivepier/gateway/serving/sendgate.py
@@ -34,7 +34,7 @@
     :param zones: evacuated availability zones
     :param table: the known targets and whether they leave
     :param permits: permits for targets with a rate limit
-    :param backoffs: targets that asked to be sent nothing for a while
+    :param backoffs: targets that requested a backoff
     :param freshness: whether the known evacuation orders are recent
     :param clock: monotonic clock
     :param metrics: counts sends that are refused by :meth:`check`
@@ -142,7 +142,7 @@
     def may_resume(self, target: Target) -> bool:
         """Return whether a generation may be resumed from a copy at a target.
 
-        A rest that ends within the wait for a permit does not prevent it.
+        A backoff that ends within the wait for a permit does not prevent it.
         """
         now = self._clock.monotonic()
         delay = self._find_delay(target, now)
--- a/packages/gateway/src/chivepier/gateway/serving/servingstate.py
+++ b/packages/gateway/src/chivepier/gateway/serving/servingstate.py
@@ -15,7 +15,7 @@
         budgets and rates
     :param stopping: whether new requests are rejected
     :param ends_at: monotonic time in seconds when this process ends; ``None``
-        unless it was told to stop
+        unless it was ordered to stop
     :param changed: set at each newer configuration
     """
 
--- a/packages/gateway/src/chivepier/gateway/serving/targetassigner.py
+++ b/packages/gateway/src/chivepier/gateway/serving/targetassigner.py
@@ -54,8 +54,8 @@
     :param health: tracks unreachable targets
     :param queues: numbers of requests waiting at all entries
     :param calls: sends reservations to targets
-    :param guard: tells which requests are held back
-    :param gate: tells what may be sent to which target
+    :param guard: blocks requests that crash targets
+    :param gate: decides what may be sent to which target
     :param clock: source of monotonic time
     :param log: receives assignment events
     """
@@ -247,9 +247,9 @@
     def _check_rate_limits(self, plan: Plan) -> bool:
         """Reject a request that rate-limited targets can't accept in time.
 
-        :returns: whether all targets are in need
-        :raises RateLimitedError: when all are in need, and what goes before
-            the request takes them too long
+        :returns: whether all targets are rate-limited
+        :raises RateLimitedError: when all are rate-limited, and the requests
+            ahead of this one use up their limits for too long
         """
         rate = self._sum_rate_limits(plan)
         if rate is None:
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_backoffs.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_backoffs.py
@@ -1,4 +1,4 @@
-"""Tests of backoffs: targets that ask an entry to send nothing for a while."""
+"""Tests of backoffs that targets request from an entry."""
 
 import asyncio
 
@@ -30,7 +30,7 @@
 def refuse_with_backoff(
     parts: Parts, *names: str, seconds: float = 3.0
 ) -> None:
-    """Make targets refuse all requests and ask for a rest."""
+    """Make targets refuse all requests and request a backoff."""
     parts.engines.refuse |= set(names)
     parts.engines.refusal = attrs.evolve(
         REFUSAL, backoff=RequestedBackoff(seconds)
@@ -38,7 +38,7 @@
 
 
 def record_backoff(parts: Parts, *names: str, seconds: float = 3.0) -> None:
-    """Record that targets have asked this entry for a rest."""
+    """Record that targets have requested a backoff."""
     for name in names:
         parts.backoffs.add(name, 0, seconds, tell_time())
 
@@ -76,8 +76,8 @@
 
 
 def test_rest_that_is_asked_while_a_send_waits_for_its_connection_is_kept():
-    # Rests were last checked before the connection was established, so
-    # requests went to a target that had asked for a rest meanwhile.
+    # Backoffs were last checked before the connection was established, so
+    # requests went to a target that had requested a backoff meanwhile.
     async def test(parts):
         answer_all(parts)
         stands = parts.engines.hold_connection("w-a")
@@ -283,7 +283,7 @@
 
 
 def test_retry_skips_targets_at_rest():
-    # The only target that is not at rest fails the request, so no target
+    # The only target without a backoff fails the request, so no target
     # remains for a retry.
     async def test(parts):
         parts.configure(services=(Service(name="web", connections=9),))
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_stopping.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_stopping.py
@@ -77,8 +77,8 @@
 
 
 def test_stream_that_completes_while_its_stop_is_lost_is_complete():
-    # The target ended the answer and was unreachable when it was told to stop,
-    # and the copy was refused: the complete answer was truncated.
+    # The target ended the answer and was unreachable when the run was to be
+    # stopped, and the copy was refused: the complete answer was truncated.
     async def test(parts):
         caller, task, run = await begin(parts)
 
--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_zonerules.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_zonerules.py
@@ -171,8 +171,8 @@
 
 
 def test_generation_goes_on_at_its_source_where_its_copy_must_not():
-    # The copy is in a zone whose evacuation this entry learns of late. The
-    # source was stopped for the move, but still has the memory.
+    # This entry learns only after the copy that its zone is evacuated. The
+    # source was stopped for the migration, but still has the KV cache.
     async def test(parts):
         put(parts, "a1", "a")
         put(parts, "b1", "b")
--- a/packages/gateway/src/chivepier/gateway/serving/waitstage.py
+++ b/packages/gateway/src/chivepier/gateway/serving/waitstage.py
@@ -1,4 +1,4 @@
-"""Stages and ranks of requests that wait for room."""
+"""Stages and ranks of requests that wait for capacity."""
 
 import enum
 
--- a/packages/gateway/src/chivepier/gateway/targets/leavingtargets.py
+++ b/packages/gateway/src/chivepier/gateway/targets/leavingtargets.py
@@ -1,4 +1,4 @@
-"""Targets that told this entry in a response that they are leaving."""
+"""Targets that announced in a response that they are leaving."""
 
 from chivepier.gateway.targets.target import Target
 from chivepier.gateway.targets.targetstate import TargetState
--- a/packages/gateway/src/chivepier/gateway/targets/loadbalancer.py
+++ b/packages/gateway/src/chivepier/gateway/targets/loadbalancer.py
@@ -61,8 +61,7 @@
     :param clock: source of monotonic time
     :param rng: random source for the choice among equivalent targets
     :param limits: rate limits that targets announced; none by default
-    :param backoffs: targets that asked for no requests for a while; none by
-        default
+    :param backoffs: targets that requested a backoff; none by default
     """
 
     def __init__(
@@ -90,7 +89,7 @@
     def avoid_unreachable(self, instance: str) -> None:
         """Avoid an unreachable or silent target for a while.
 
-        :param instance: name of the target; the other entries are told
+        :param instance: name of the target; reported to the other entries
         """
         now = self._clock.monotonic()
         self._loads.avoid(
@@ -185,7 +184,7 @@
         now: float,
         regions: collections.abc.Collection[str] | None,
     ) -> list[Target]:
-        """Return the targets that did not ask for a pause."""
+        """Return the targets without a backoff."""
         found = self._table.select(service, now, regions)
         if not self._backoffs:
             return found
--- a/packages/gateway/src/chivepier/gateway/targets/target.py
+++ b/packages/gateway/src/chivepier/gateway/targets/target.py
@@ -11,9 +11,9 @@
 
     :param instance: name of the target, which may survive a restart
     :param born: start of the target in Unix milliseconds; together with the
-        name it identifies one incarnation; 0 if the target does not tell
+        name it identifies one incarnation; 0 if the target does not report it
     :param number: sequence number of the announcement in its incarnation
-    :param heard: monotonic time of the last sign of life, in seconds
+    :param heard: monotonic time at which it was last known alive, in seconds
     :param warm_at: monotonic time from which on it runs at full speed, in
         seconds
     :param announced_at: monotonic time of this announcement, in seconds
--- a/packages/gateway/src/chivepier/gateway/targets/targettable.py
+++ b/packages/gateway/src/chivepier/gateway/targets/targettable.py
@@ -145,7 +145,7 @@
         A restarted target numbers its announcements from the beginning; as the
         same incarnation, these would be dropped as old. The watchers drop the
         load, health and generations of the old incarnation before they are
-        told of the new one.
+        notified of the new one.
         """
         known.state = TargetState.GONE
         for watcher in self.restart_watchers:
