--- a/packages/gateway/src/chivepier/gateway/serving/tests/test_zonerules.py
+++ b/packages/gateway/src/chivepier/gateway/serving/tests/test_zonerules.py
@@ -171,8 +171,8 @@
 
 
 def test_generation_goes_on_at_its_source_where_its_copy_must_not():
-    # The copy is in a zone whose evacuation this entry learns of late. The
-    # source was stopped for the move, but still has the memory.
+    # This entry learns only after the copy that its zone is evacuated. The
+    # source was stopped for the migration, but still has the KV cache.
     async def test(parts):
         put(parts, "a1", "a")
         put(parts, "b1", "b")
@@ -363,7 +363,7 @@
     async def test(parts):
         put(parts, "a1", "a")
         put(parts, "b1", "b")
-        parts.freshness._heard -= 60.0
+        parts.freshness._updated_at -= 60.0
         asked = asyncio.Event()
         parts.freshness.request_update = asked.set
         _, task = parts.start(make_request("/llm/x"))
@@ -382,7 +382,7 @@
     async def test(parts):
         put(parts, "w-a1", "a", "web")
         parts.engines.failing["w-a1"] = 200
-        parts.freshness._heard -= 60.0
+        parts.freshness._updated_at -= 60.0
         asked = []
         parts.freshness.request_update = lambda: asked.append(1)
         for _ in range(3):
--- a/packages/gateway/src/chivepier/gateway/targets/loadbalancer.py
+++ b/packages/gateway/src/chivepier/gateway/targets/loadbalancer.py
@@ -56,31 +56,30 @@
 
     :param table: known targets
     :param health: health of the targets
-    :param board: load of the targets
+    :param loads: load of the targets
     :param zone: availability zone of this node
     :param clock: source of monotonic time
     :param rng: random source for the choice among equivalent targets
     :param limits: rate limits that targets announced; none by default
-    :param rests: targets that asked for no requests for a while; none by
-        default
+    :param backoffs: targets that requested a backoff; none by default
     """
 
     def __init__(
         self,
         table: TargetTable,
         health: TargetHealth,
-        board: LoadTracker,
+        loads: LoadTracker,
         zone: str,
         clock: Clock,
         rng: random.Random,
         limits: LimitTable | None = None,
-        rests: BackoffTable | None = None,
+        backoffs: BackoffTable | None = None,
     ):
-        self._rests = BackoffTable(rng) if rests is None else rests
+        self._backoffs = BackoffTable(rng) if backoffs is None else backoffs
         self._limits = LimitTable() if limits is None else limits
         self._table = table
         self._health = health
-        self._loads = board
+        self._loads = loads
         self._zone = zone
         self._clock = clock
         self._rng = rng
@@ -90,7 +89,7 @@
     def avoid_unreachable(self, instance: str) -> None:
         """Avoid an unreachable or silent target for a while.
 
-        :param instance: name of the target; the other entries are told
+        :param instance: name of the target; reported to the other entries
         """
         now = self._clock.monotonic()
         self._loads.avoid(
@@ -140,12 +139,12 @@
         engine: Engine | None,
         demand: Demand | None,
         without: collections.abc.Collection[str] = (),
-        roomy: bool = False,
+        exclude_full: bool = False,
         regions: collections.abc.Collection[str] | None = None,
     ) -> list[Target]:
         """Return the targets, the best first; see :meth:`choose`.
 
-        :param roomy: whether full targets are excluded
+        :param exclude_full: whether full targets are excluded
         :param regions: regions that the request may reach; ``None`` for all
         """
         now = self._clock.monotonic()
@@ -153,7 +152,7 @@
         costs = {
             t.instance: self._get_cost(t, engine, demand, now)
             for t in healthy
-            if not roomy or self.has_room(t, engine, demand)
+            if not exclude_full or self.has_room(t, engine, demand)
         }
         if not costs:
             return []
@@ -168,7 +167,7 @@
         now: float,
         regions: collections.abc.Collection[str] | None,
     ) -> list[Target]:
-        found = self._select_not_resting(service, now, regions)
+        found = self._select_available(service, now, regions)
         candidates = [t for t in found if t.instance not in without]
         if not candidates:
             return []
@@ -179,20 +178,20 @@
             [t for t in candidates if t.instance in healthy], now
         )
 
-    def _select_not_resting(
+    def _select_available(
         self,
         service: str,
         now: float,
         regions: collections.abc.Collection[str] | None,
     ) -> list[Target]:
-        """Return the targets that did not ask for a pause."""
+        """Return the targets without a backoff."""
         found = self._table.select(service, now, regions)
-        if not self._rests:
+        if not self._backoffs:
             return found
-        return [t for t in found if self._find_rest(t, now) is None]
+        return [t for t in found if self._find_delay(t, now) is None]
 
-    def _find_rest(self, target: Target, now: float) -> float | None:
-        return self._rests.find_delay(target.instance, target.born, now)
+    def _find_delay(self, target: Target, now: float) -> float | None:
+        return self._backoffs.find_delay(target.instance, target.born, now)
 
     def select(
         self,
@@ -204,11 +203,11 @@
         :param service: name of the service
         :param regions: regions that the request may reach; ``None`` for all
         """
-        return self._select_not_resting(
+        return self._select_available(
             service, self._clock.monotonic(), regions
         )
 
-    def find_shortest_rest(
+    def find_shortest_backoff(
         self,
         service: str,
         regions: collections.abc.Collection[str] | None = None,
@@ -220,11 +219,11 @@
         :returns: ``None`` if any target accepts requests now, or if none is
             known
         """
-        if not self._rests:
+        if not self._backoffs:
             return None
         now = self._clock.monotonic()
         found = self._table.select(service, now, regions)
-        pauses = [self._find_rest(target, now) for target in found]
+        pauses = [self._find_delay(target, now) for target in found]
         if not pauses or None in pauses:
             return None
         return min(pauses)
@@ -236,8 +235,8 @@
         with that of the least avoided target.
         """
         counts = [self._loads.count_avoiding(t.instance, now) for t in targets]
-        most = min(counts) + MIN_AVOIDING_ENTRIES
-        return [t for t, count in zip(targets, counts) if count < most]
+        limit = min(counts) + MIN_AVOIDING_ENTRIES
+        return [t for t, count in zip(targets, counts) if count < limit]
 
     def choose_destination(
         self,
@@ -345,7 +344,7 @@
         """Return the load of a target over all entries."""
         return self._loads.get_total(instance, self._clock.monotonic())
 
-    def count_free_places(
+    def count_fitting(
         self,
         service: str,
         engine: Engine,
@@ -360,12 +359,12 @@
         :param regions: regions that they may reach; ``None`` for all
         """
         now = self._clock.monotonic()
-        places = 0
-        for target in self._select_not_resting(service, now, regions):
+        fitting = 0
+        for target in self._select_available(service, now, regions):
             tokens = self._loads.get_total(target.instance, now).tokens
             spare = max(0.0, MAX_MEMORY_SHARE * engine.memory_tokens - tokens)
-            places += int(spare // max(1, demand.near_term_tokens))
-        return places
+            fitting += int(spare // max(1, demand.near_term_tokens))
+        return fitting
 
     def count_leaving(self, service: str) -> int:
         """Count the generations whose target leaves.
--- a/tests/adapter/test_heads.py
+++ b/tests/adapter/test_heads.py
@@ -102,7 +102,7 @@
         reply = await send(
             targets, raw.make_target(), rawtarget.make_request(), OPTIONS
         )
-        assert reply.facts.rest == rest
+        assert reply.facts.backoff == rest
         assert reply.facts.unknown_headers == ()
 
     run(script, test)
--- a/tests/adapter/test_targets.py
+++ b/tests/adapter/test_targets.py
@@ -536,6 +536,6 @@
         exchange = RecordingExchange()
         await CALLS[kind](targets, raw.make_target(), exchange)
         (facts,) = exchange.heads
-        assert (facts.rest, facts.leaving) == (RequestedBackoff(2.0), True)
+        assert (facts.backoff, facts.leaving) == (RequestedBackoff(2.0), True)
 
     run(script, test)
