--- a/packages/wire/src/chivepier/wire/channel.py
+++ b/packages/wire/src/chivepier/wire/channel.py
@@ -23,7 +23,7 @@
 
 Handler = typing.Callable[[typing.Any, "Channel"], typing.Any]
 
-SILENCE_SECONDS = 2.0
+MAX_SILENCE_SECONDS = 2.0
 
 
 def prepare(value: typing.Any) -> tuple:
@@ -57,13 +57,13 @@
         self._faults = faults
         self._traffic = traffic
         self._clock = clock
-        self._numbers = itertools.count(1)
-        self._waiting: dict[int, asyncio.Future] = {}
+        self._request_numbers = itertools.count(1)
+        self._pending: dict[int, asyncio.Future] = {}
         self._outbox = Outbox(clock)
         self._ready = asyncio.Event()
         self._tasks: set[asyncio.Task] = set()
-        self._heard = self._clock.monotonic()
-        self._quiet_from: float | None = None
+        self._last_received = self._clock.monotonic()
+        self._silent_since: float | None = None
         self.closed = False
 
     async def run(self) -> None:
@@ -74,15 +74,15 @@
                 if self.closed:
                     break
                 if not self._faults.blocks(self.peer):
-                    self._heard = self._clock.monotonic()
-                    self._quiet_from = None
+                    self._last_received = self._clock.monotonic()
+                    self._silent_since = None
                     self._receive(data)
         except websockets.ConnectionClosed:
             pass
         finally:
             self.closed = True
             writer.cancel()
-            self._fail_all()
+            self._fail_pending()
             await self._socket.close()
 
     async def _write(self) -> None:
@@ -112,9 +112,9 @@
         for part, number, value in parts:
             match part:
                 case Part.ANSWER:
-                    self._settle(number, value)
+                    self._resolve(number, value)
                 case Part.FAILED:
-                    self._settle_error(number, value)
+                    self._reject(number, value)
                 case Part.REQUEST | Part.SEND:
                     self._handle(part, number, value)
 
@@ -129,13 +129,15 @@
             self._reply_error(part, number, error)
             return
         if inspect.isawaitable(answer):
-            task = asyncio.ensure_future(self._finish(part, number, answer))
+            task = asyncio.ensure_future(
+                self._await_answer(part, number, answer)
+            )
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
             return
         self._reply(part, number, answer)
 
-    async def _finish(self, part: Part, number: int, answer) -> None:
+    async def _await_answer(self, part: Part, number: int, answer) -> None:
         try:
             value = await answer
         except RefusedError as error:
@@ -149,13 +151,13 @@
 
     def _reply(self, part: Part, number: int, value: typing.Any) -> None:
         if part is Part.REQUEST and value is not None:
-            self._post(pack_part(Part.ANSWER, number, value))
+            self._enqueue(pack_part(Part.ANSWER, number, value))
 
     def _reply_error(self, part: Part, number: int, error) -> None:
         if part is Part.REQUEST:
-            self._post(pack_part(Part.FAILED, number, repr(error)))
+            self._enqueue(pack_part(Part.FAILED, number, repr(error)))
 
-    def _post(self, part: tuple) -> None:
+    def _enqueue(self, part: tuple) -> None:
         if self.closed:
             return
         dropped = self._outbox.add(part)
@@ -169,14 +171,14 @@
 
         :param value: a registered message
         """
-        self._post(prepare(value))
+        self._enqueue(prepare(value))
 
     def send_prepared(self, part: tuple) -> None:
         """Post a one-way message that goes to several peers.
 
         :param part: what :func:`prepare` made of it
         """
-        self._post(part)
+        self._enqueue(part)
 
     async def request(self, value: typing.Any, timeout: float) -> typing.Any:
         """Post a request and wait for its answer.
@@ -189,46 +191,46 @@
         if self.closed:
             raise LinkError(f"link to {self.peer} is closed", sent=False)
         sent = self._clock.monotonic()
-        number = next(self._numbers)
+        number = next(self._request_numbers)
         future = asyncio.get_running_loop().create_future()
-        self._waiting[number] = future
-        self._post(pack_part(Part.REQUEST, number, value))
+        self._pending[number] = future
+        self._enqueue(pack_part(Part.REQUEST, number, value))
         try:
             async with asyncio.timeout(timeout):
                 return await future
         except TimeoutError:
-            self._note_timeout(sent)
+            self._handle_timeout(sent)
             text = f"no answer from {self.peer} in {timeout}s"
             raise LinkError(text, sent=True) from None
         finally:
-            self._waiting.pop(number, None)
+            self._pending.pop(number, None)
 
-    def _note_timeout(self, sent: float) -> None:
+    def _handle_timeout(self, sent: float) -> None:
         # after a long cut the kernel waits up to minutes before it sends
         # again; a new connection starts at once
-        if self._quiet_from is None:
-            self._quiet_from = max(sent, self._heard)
-        if self._clock.monotonic() - self._quiet_from > SILENCE_SECONDS:
+        if self._silent_since is None:
+            self._silent_since = max(sent, self._last_received)
+        if self._clock.monotonic() - self._silent_since > MAX_SILENCE_SECONDS:
             self.closed = True
             self._outbox.clear()
-            self._fail_all()
+            self._fail_pending()
 
-    def _settle(self, number: int, value: typing.Any) -> None:
-        future = self._waiting.pop(number, None)
+    def _resolve(self, number: int, value: typing.Any) -> None:
+        future = self._pending.pop(number, None)
         if future is not None and not future.done():
             future.set_result(value)
 
-    def _settle_error(self, number: int, text: str) -> None:
-        future = self._waiting.pop(number, None)
+    def _reject(self, number: int, text: str) -> None:
+        future = self._pending.pop(number, None)
         if future is not None and not future.done():
             future.set_exception(LinkError(text, sent=True))
 
-    def _fail_all(self) -> None:
-        for future in self._waiting.values():
+    def _fail_pending(self) -> None:
+        for future in self._pending.values():
             if not future.done():
                 text = f"link to {self.peer} was lost"
                 future.set_exception(LinkError(text, sent=True))
-        self._waiting.clear()
+        self._pending.clear()
 
     async def close(self) -> None:
         """Close the connection."""
--- a/packages/wire/src/chivepier/wire/frame.py
+++ b/packages/wire/src/chivepier/wire/frame.py
@@ -8,7 +8,7 @@
 from chivepier.messages import pack
 from chivepier.messages import unpack
 
-SPLIT_BYTES = 4 << 20
+MAX_BATCH_BYTES = 4 << 20
 # What reading a frame of another writer may raise.
 FRAME_ERRORS = (KeyError, TypeError, ValueError, cbor2.CBORDecodeError)
 
@@ -55,7 +55,7 @@
     :returns: CBOR, each no longer than a frame should be, or of one part
     """
     data = dump_frame(parts)
-    if len(data) <= SPLIT_BYTES or len(parts) == 1:
+    if len(data) <= MAX_BATCH_BYTES or len(parts) == 1:
         return [data]
     middle = len(parts) // 2
     return dump_frames(parts[:middle]) + dump_frames(parts[middle:])
--- a/packages/wire/src/chivepier/wire/links.py
+++ b/packages/wire/src/chivepier/wire/links.py
@@ -12,7 +12,7 @@
 from chivepier.wire.faults import Faults
 from chivepier.wire.linkerror import LinkError
 from chivepier.wire.server import KEY_HEADER
-from chivepier.wire.server import MAX_FRAME
+from chivepier.wire.server import MAX_FRAME_BYTES
 from chivepier.wire.server import PEER_HEADER
 from chivepier.wire.traffic import Traffic
 
@@ -22,7 +22,7 @@
 class Links:
     """One outgoing channel per peer, made on first use and after a loss.
 
-    :param me: this process's address, as peers know it
+    :param own_address: this process's address, as peers know it
     :param key: that all processes of a cluster hold
     :param handler: takes what peers send on these channels
     :param faults: of the links, for tests
@@ -32,14 +32,14 @@
 
     def __init__(
         self,
-        me: str,
+        own_address: str,
         key: str,
         handler: Handler,
         faults: Faults,
         clock: Clock,
         traffic: Traffic | None = None,
     ):
-        self.me = me
+        self.own_address = own_address
         self._key = key
         self._handler = handler
         self._faults = faults
@@ -111,7 +111,9 @@
         if task is None:
             task = asyncio.create_task(self._connect(peer))
             self._connecting[peer] = task
-            task.add_done_callback(lambda done: self._connected(peer, done))
+            task.add_done_callback(
+                lambda done: self._finish_connecting(peer, done)
+            )
         try:
             async with asyncio.timeout(timeout):
                 return await asyncio.shield(task)
@@ -119,7 +121,7 @@
             text = f"no connection to {peer} in {timeout}s"
             raise LinkError(text, sent=False) from None
 
-    def _connected(self, peer: str, task: asyncio.Task) -> None:
+    def _finish_connecting(self, peer: str, task: asyncio.Task) -> None:
         del self._connecting[peer]
         if not task.cancelled():
             # nobody may be waiting for it any more
@@ -130,14 +132,14 @@
             # a cut link loses the handshake too: fail without a reset
             await asyncio.sleep(CONNECT_SECONDS)
             raise LinkError(f"no connection to {peer}", sent=False)
-        headers = {KEY_HEADER: self._key, PEER_HEADER: self.me}
+        headers = {KEY_HEADER: self._key, PEER_HEADER: self.own_address}
         try:
             async with asyncio.timeout(CONNECT_SECONDS):
                 socket = await connect(
                     f"ws://{peer}",
                     additional_headers=headers,
                     compression=None,
-                    max_size=MAX_FRAME,
+                    max_size=MAX_FRAME_BYTES,
                     ping_interval=None,
                     open_timeout=None,
                     proxy=None,
--- a/packages/wire/src/chivepier/wire/outbox.py
+++ b/packages/wire/src/chivepier/wire/outbox.py
@@ -7,11 +7,11 @@
 
 # Seconds after which a one-way message is no longer sent: peers ask again for
 # what they miss, several times in this time.
-NEWS_SECONDS = 2.0
+MAX_MESSAGE_AGE_SECONDS = 2.0
 # Seconds between two looks for such messages.
-LOOK_SECONDS = 0.5
+PURGE_INTERVAL_SECONDS = 0.5
 # Parts that are encoded at a time, once for each peer.
-MOST_PARTS = 256
+MAX_BATCH_PARTS = 256
 
 
 class Outbox:
@@ -37,13 +37,13 @@
 
     def __init__(self, clock: Clock):
         self._clock = clock
-        self._waiting: collections.deque[tuple[float, tuple]] = (
+        self._queue: collections.deque[tuple[float, tuple]] = (
             collections.deque()
         )
-        self._looked = clock.monotonic()
+        self._last_purged = clock.monotonic()
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._queue)
 
     def add(self, part: tuple) -> int:
         """Let a part wait behind the others.
@@ -53,29 +53,32 @@
         """
         now = self._clock.monotonic()
         dropped = 0
-        if now - self._looked >= LOOK_SECONDS:
-            self._looked = now
-            dropped = self._drop_old(now)
-        self._waiting.append((now, part))
+        if now - self._last_purged >= PURGE_INTERVAL_SECONDS:
+            self._last_purged = now
+            dropped = self._drop_expired(now)
+        self._queue.append((now, part))
         return dropped
 
-    def _drop_old(self, now: float) -> int:
-        if not self._waiting or now - self._waiting[0][0] <= NEWS_SECONDS:
+    def _drop_expired(self, now: float) -> int:
+        if (
+            not self._queue
+            or now - self._queue[0][0] <= MAX_MESSAGE_AGE_SECONDS
+        ):
             return 0
-        kept = collections.deque(
+        remaining = collections.deque(
             (since, part)
-            for since, part in self._waiting
-            if part[0] != Part.SEND or now - since <= NEWS_SECONDS
+            for since, part in self._queue
+            if part[0] != Part.SEND or now - since <= MAX_MESSAGE_AGE_SECONDS
         )
-        dropped = len(self._waiting) - len(kept)
-        self._waiting = kept
+        dropped = len(self._queue) - len(remaining)
+        self._queue = remaining
         return dropped
 
     def take(self) -> list[tuple]:
         """Return the next parts, which wait no longer."""
-        count = min(MOST_PARTS, len(self._waiting))
-        return [self._waiting.popleft()[1] for _ in range(count)]
+        count = min(MAX_BATCH_PARTS, len(self._queue))
+        return [self._queue.popleft()[1] for _ in range(count)]
 
     def clear(self) -> None:
         """Let nothing wait any more."""
-        self._waiting.clear()
+        self._queue.clear()
--- a/packages/wire/src/chivepier/wire/server.py
+++ b/packages/wire/src/chivepier/wire/server.py
@@ -14,7 +14,7 @@
 KEY_HEADER = "x-chivepier-key"
 PEER_HEADER = "x-chivepier-peer"
 # the whole state goes in one frame
-MAX_FRAME = 32 << 20
+MAX_FRAME_BYTES = 32 << 20
 UNAUTHORIZED = 401
 
 
@@ -47,7 +47,7 @@
             self._port,
             process_request=self._check,
             compression=None,
-            max_size=MAX_FRAME,
+            max_size=MAX_FRAME_BYTES,
             ping_interval=None,
         )
         return self
--- a/packages/wire/src/chivepier/wire/tests/test_backlog.py
+++ b/packages/wire/src/chivepier/wire/tests/test_backlog.py
@@ -8,29 +8,29 @@
 from chivepier.wire import Faults
 from chivepier.wire.frame import load_frame
 from chivepier.wire.linkerror import LinkError
-from chivepier.wire.outbox import MOST_PARTS
+from chivepier.wire.outbox import MAX_BATCH_PARTS
 from chivepier.wire.traffic import Traffic
 
 PEER = "127.0.0.1:1"
 # News a second, for a peer that takes nothing.
-RATE = 100
+MESSAGES_PER_SECOND = 100
 # Number of the last message of a test.
-LAST = 1_000_000
+LAST_VERSION = 1_000_000
 
 
 class SlowSocket:
     """A connection that takes bytes only when it is told to."""
 
     def __init__(self) -> None:
-        self.taken: list[bytes] = []
-        self.open = asyncio.Event()
-        self.full = asyncio.Event()
+        self.sent_frames: list[bytes] = []
+        self.writable = asyncio.Event()
+        self.blocked = asyncio.Event()
 
     async def send(self, data: bytes) -> None:
         """Take a frame, later."""
-        self.full.set()
-        await self.open.wait()
-        self.taken.append(data)
+        self.blocked.set()
+        await self.writable.wait()
+        self.sent_frames.append(data)
 
     def __aiter__(self) -> "SlowSocket":
         return self
@@ -41,20 +41,22 @@
     async def close(self) -> None:
         """Nothing is kept."""
 
-    async def take_all(self, channel: Channel) -> None:
+    async def drain(self, channel: Channel) -> None:
         """Take everything that waits."""
-        self.open.set()
-        channel.send(FreshRequest("a", 1, LAST))
-        while LAST not in self.read_numbers():
+        self.writable.set()
+        channel.send(FreshRequest("a", 1, LAST_VERSION))
+        while LAST_VERSION not in self.read_versions():
             await asyncio.sleep(0)
 
-    def read_numbers(self) -> list[int]:
+    def read_versions(self) -> list[int]:
         """Return the numbers of the messages, as the peer gets them."""
-        parts = [part for data in self.taken for part in load_frame(data)]
+        parts = [
+            part for data in self.sent_frames for part in load_frame(data)
+        ]
         return [value.version for _, _, value in parts]
 
 
-def play(test) -> None:
+def run_blocked(test) -> None:
     """Run a test over a channel whose peer takes nothing yet."""
 
     async def work():
@@ -73,56 +75,58 @@
     asyncio.run(work())
 
 
-async def post_news(channel, socket, clock, seconds: int) -> int:
+async def send_updates(channel, socket, clock, seconds: int) -> int:
     """Post news for some seconds, and return how many."""
     channel.send(FreshRequest("a", 1, 0))
-    await socket.full.wait()
-    for number in range(1, seconds * RATE):
-        clock.advance(1 / RATE)
+    await socket.blocked.wait()
+    for number in range(1, seconds * MESSAGES_PER_SECOND):
+        clock.advance(1 / MESSAGES_PER_SECOND)
         channel.send(FreshRequest("a", 1, number))
-    return seconds * RATE
+    return seconds * MESSAGES_PER_SECOND
 
 
-def test_news_that_waits_for_a_slow_peer_is_bounded():
+def test_queue_of_a_slow_peer_is_bounded():
     # A voter told 300 entries more than they took, and its memory was full.
     async def test(channel, socket, clock):
-        count = await post_news(channel, socket, clock, 60)
-        assert len(channel._outbox) <= 3 * RATE
-        await socket.take_all(channel)
+        count = await send_updates(channel, socket, clock, 60)
+        assert len(channel._outbox) <= 3 * MESSAGES_PER_SECOND
+        await socket.drain(channel)
         # the newest are not lost, and come in order
-        numbers = socket.read_numbers()[:-1]
-        assert numbers[-RATE:] == list(range(count - RATE, count))
-        assert numbers == sorted(numbers)
-        assert channel._traffic.dropped_parts == count - len(numbers)
+        versions = socket.read_versions()[:-1]
+        assert versions[-MESSAGES_PER_SECOND:] == list(
+            range(count - MESSAGES_PER_SECOND, count)
+        )
+        assert versions == sorted(versions)
+        assert channel._traffic.dropped_parts == count - len(versions)
 
-    play(test)
+    run_blocked(test)
 
 
-def test_questions_are_kept_among_news_that_is_dropped():
+def test_requests_are_kept_when_one_way_messages_expire():
     async def test(channel, socket, clock):
-        await post_news(channel, socket, clock, 1)
-        asking = asyncio.create_task(
+        await send_updates(channel, socket, clock, 1)
+        pending_request = asyncio.create_task(
             channel.request(FreshRequest("a", 1, -1), 0.2)
         )
         await asyncio.sleep(0)
-        await post_news(channel, socket, clock, 9)
-        await socket.take_all(channel)
-        assert -1 in socket.read_numbers()
-        await asyncio.gather(asking, return_exceptions=True)
-        assert isinstance(asking.exception(), LinkError)
+        await send_updates(channel, socket, clock, 9)
+        await socket.drain(channel)
+        assert -1 in socket.read_versions()
+        await asyncio.gather(pending_request, return_exceptions=True)
+        assert isinstance(pending_request.exception(), LinkError)
 
-    play(test)
+    run_blocked(test)
 
 
-def test_what_waits_is_encoded_by_and_by():
+def test_queued_messages_are_encoded_in_bounded_batches():
     # All that waited was encoded at once, for each of hundreds of peers.
     async def test(channel, socket, clock):
         channel.send(FreshRequest("a", 1, 0))
-        await socket.full.wait()
-        for number in range(5 * MOST_PARTS):
+        await socket.blocked.wait()
+        for number in range(5 * MAX_BATCH_PARTS):
             channel.send(FreshRequest("a", 1, number))
-        await socket.take_all(channel)
-        most = max(len(load_frame(data)) for data in socket.taken)
-        assert most <= MOST_PARTS
+        await socket.drain(channel)
+        largest = max(len(load_frame(data)) for data in socket.sent_frames)
+        assert largest <= MAX_BATCH_PARTS
 
-    play(test)
+    run_blocked(test)
--- a/packages/wire/src/chivepier/wire/tests/test_large.py
+++ b/packages/wire/src/chivepier/wire/tests/test_large.py
@@ -33,7 +33,7 @@
             )
 
 
-def test_state_of_the_largest_site_fits_a_frame():
+def test_largest_state_fits_into_one_frame():
     """An instance without a disk starts and fetches the whole state.
 
     Larger than a frame may be, the answer closed the link each time: the
@@ -43,6 +43,6 @@
     assert answer.snapshot == STATE
 
 
-def test_large_answers_that_are_ready_together_don_t_share_a_frame():
+def test_large_answers_are_split_into_frames():
     answers = asyncio.run(fetch(8))
     assert [a.commit for a in answers] == list(range(8))
--- a/packages/wire/src/chivepier/wire/tests/test_refused.py
+++ b/packages/wire/src/chivepier/wire/tests/test_refused.py
@@ -15,7 +15,7 @@
 KEY = "key-of-tests"
 
 
-async def ask(handle) -> None:
+async def send_request(handle) -> None:
     """Ask a peer that refuses, over a real link."""
     async with PeerServer(
         "127.0.0.1", 0, handle, KEY, SystemClock()
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("handle", [refuse, refuse_later])
-def test_refused_message_is_answered_and_not_logged(handle):
+def test_refusal_is_answered_but_not_logged(handle):
     """An instance lost its folder; the leader still sends to its old voter.
 
     Each message left a traceback in the log, several a second until the
@@ -45,5 +45,5 @@
     """
     with logbook.TestHandler().applicationbound() as records:
         with pytest.raises(LinkError, match="not mine"):
-            asyncio.run(ask(handle))
+            asyncio.run(send_request(handle))
     assert not records.records
--- a/packages/wire/src/chivepier/wire/tests/test_silence.py
+++ b/packages/wire/src/chivepier/wire/tests/test_silence.py
@@ -14,7 +14,7 @@
 from chivepier.wire import PeerServer
 
 KEY = "key-of-tests"
-ASK = FreshRequest("a", 1, 1)
+REQUEST = FreshRequest("a", 1, 1)
 
 
 def answer(message, channel):
@@ -33,12 +33,12 @@
             yield links, f"127.0.0.1:{server.port}", faults
 
 
-async def ask_until(links, peer, outcome):
+async def request_until(links, peer, outcome):
     """Ask again and again until a request succeeds, or fails."""
     async with asyncio.timeout(30):
         while True:
             try:
-                await links.request(peer, ASK, 0.2)
+                await links.request(peer, REQUEST, 0.2)
                 if outcome:
                     return
             except LinkError:
@@ -47,7 +47,7 @@
                 await asyncio.sleep(0.01)
 
 
-def test_request_over_a_cut_link_times_out_and_a_healed_link_works():
+def test_silent_link_is_closed_and_replaced():
     """A link is cut without a reset for longer than it may be silent.
 
     Requests end by their own time, and the next one after the cut is
@@ -57,21 +57,21 @@
 
     async def body():
         async with connect() as (links, peer, faults):
-            await links.request(peer, ASK, 5)
+            await links.request(peer, REQUEST, 5)
             old = links._channels[peer]
             faults.cut = {peer}
             async with asyncio.timeout(30):
                 while not old.closed:
                     with pytest.raises(LinkError):
-                        await links.request(peer, ASK, 0.2)
+                        await links.request(peer, REQUEST, 0.2)
             faults.cut = set()
-            await ask_until(links, peer, True)
+            await request_until(links, peer, True)
             assert links._channels[peer] is not old
 
     asyncio.run(body())
 
 
-def test_waiting_for_a_connection_is_shared():
+def test_concurrent_requests_share_one_connection_attempt():
     """Many requests meet a peer that does not answer the handshake.
 
     One after the other, each would wait for those before it; all end
@@ -81,16 +81,16 @@
     async def body():
         async with connect() as (links, peer, faults):
             faults.cut = {peer}
-            asks = [links.request(peer, ASK, 0.3) for _ in range(20)]
+            requests = [links.request(peer, REQUEST, 0.3) for _ in range(20)]
             async with asyncio.timeout(4):
-                done = await asyncio.gather(*asks, return_exceptions=True)
+                done = await asyncio.gather(*requests, return_exceptions=True)
             assert all(isinstance(e, LinkError) for e in done)
             assert not any(e.sent for e in done)
 
     asyncio.run(body())
 
 
-def test_slow_answer_does_not_close_a_link_that_was_idle():
+def test_slow_answer_does_not_close_an_idle_link():
     """A link was idle for long; one answer takes longer than its time.
 
     Other requests that wait on the link for a place in a queue go on.
@@ -98,12 +98,12 @@
 
     async def body():
         async with connect() as (links, peer, faults):
-            await links.request(peer, ASK, 5)
+            await links.request(peer, REQUEST, 5)
             channel = links._channels[peer]
-            channel._heard -= 1000
+            channel._last_received -= 1000
             faults.cut = {peer}
             with pytest.raises(LinkError):
-                await links.request(peer, ASK, 0.05)
+                await links.request(peer, REQUEST, 0.05)
             assert not channel.closed
 
     asyncio.run(body())
