--- a/packages/wire/src/chivepier/wire/__init__.py
+++ b/packages/wire/src/chivepier/wire/__init__.py
@@ -1,4 +1,4 @@
-"""Peer links: typed messages as CBOR over websockets."""
+"""Links between processes: typed messages as CBOR over websockets."""
 
 from chivepier.wire.channel import Channel
 from chivepier.wire.channel import Handler
--- a/packages/wire/src/chivepier/wire/channel.py
+++ b/packages/wire/src/chivepier/wire/channel.py
@@ -1,4 +1,4 @@
-"""One connection between two processes."""
+"""Message exchange over one connection between two processes."""
 
 import asyncio
 import inspect
@@ -23,23 +23,32 @@
 
 Handler = typing.Callable[[typing.Any, "Channel"], typing.Any]
 
+# A link without received frames for this long is closed when a request on it
+# times out.
 MAX_SILENCE_SECONDS = 2.0
 
 
 def prepare(value: typing.Any) -> tuple:
-    """Take a one-way message apart once, for sending it to several peers.
+    """Pack a one-way message once, to send it to several peers.
 
     :param value: a registered message
-    :returns: for :meth:`Channel.send_prepared`
+    :returns: the packed message, for :meth:`Channel.send_prepared`
     """
     return pack_part(Part.SEND, 0, value)
 
 
 class Channel:
-    """Requests, answers and one-way messages over one websocket.
+    """Exchanges requests, answers and one-way messages over one websocket.
 
-    What is ready when the writer comes round goes out as one frame, so that
-    a busy link pays for the frame once; nothing waits for a frame to fill.
+    Everything that is queued when the writer runs is sent as one frame, which
+    saves overhead on a busy link; no message waits for a frame to fill.
+
+    :param socket: the websocket connection
+    :param peer: address of the peer as ``ip:port``
+    :param handler: handles received messages and returns the answer, if any
+    :param faults: peers whose frames are dropped, for tests
+    :param traffic: counters of the process's peer links
+    :param clock: measures the age of messages and the silence of the peer
     """
 
     def __init__(
@@ -67,7 +76,7 @@
         self.closed = False
 
     async def run(self) -> None:
-        """Read and write until the connection ends."""
+        """Receive and send messages until the connection ends."""
         writer = asyncio.create_task(self._write())
         try:
             async for data in self._socket:
@@ -107,7 +116,9 @@
         try:
             parts = load_frame(data)
         except ValueError as error:
-            log.warn("frame refused peer={} error={}", self.peer, error)
+            log.warn(
+                "malformed frame ignored peer={} error={}", self.peer, error
+            )
             return
         for part, number, value in parts:
             match part:
@@ -124,7 +135,9 @@
         except RefusedError as error:
             self._reply_error(part, number, error)
             return
-        except Exception as error:  # the peer is told, the link lives on
+        except (
+            Exception
+        ) as error:  # the peer gets the error, the link stays open
             log.exception("handler failed message={}", type(value).__name__)
             self._reply_error(part, number, error)
             return
@@ -163,30 +176,32 @@
         dropped = self._outbox.add(part)
         if dropped:
             self._traffic.dropped_parts += dropped
-            log.warn("old news dropped peer={} parts={}", self.peer, dropped)
+            log.warn(
+                "expired messages dropped peer={} parts={}", self.peer, dropped
+            )
         self._ready.set()
 
     def send(self, value: typing.Any) -> None:
-        """Post a one-way message; it may be lost with the connection.
+        """Queue a one-way message; it is lost if the connection breaks.
 
         :param value: a registered message
         """
         self._enqueue(prepare(value))
 
     def send_prepared(self, part: tuple) -> None:
-        """Post a one-way message that goes to several peers.
+        """Queue a one-way message that was packed once for several peers.
 
-        :param part: what :func:`prepare` made of it
+        :param part: the message as packed by :func:`prepare`
         """
         self._enqueue(part)
 
     async def request(self, value: typing.Any, timeout: float) -> typing.Any:
-        """Post a request and wait for its answer.
+        """Send a request and wait for its answer.
 
         :param value: a registered message
-        :param timeout: seconds to wait
-        :returns: the answer's message
-        :raises LinkError: when the link fails or the time is over
+        :param timeout: maximum time to wait for the answer, in seconds
+        :returns: the message in the answer
+        :raises LinkError: when the link fails or the timeout expires
         """
         if self.closed:
             raise LinkError(f"link to {self.peer} is closed", sent=False)
@@ -206,8 +221,8 @@
             self._pending.pop(number, None)
 
     def _handle_timeout(self, sent: float) -> None:
-        # after a long cut the kernel waits up to minutes before it sends
-        # again; a new connection starts at once
+        # After a long partition TCP may wait minutes before it retransmits;
+        # closing the link makes the next request open a new connection.
         if self._silent_since is None:
             self._silent_since = max(sent, self._last_received)
         if self._clock.monotonic() - self._silent_since > MAX_SILENCE_SECONDS:
--- a/packages/wire/src/chivepier/wire/faults.py
+++ b/packages/wire/src/chivepier/wire/faults.py
@@ -1,22 +1,23 @@
-"""A fault hook on peer links."""
+"""Fault injection for peer links."""
 
 import attrs
 
 
 @attrs.define
 class Faults:
-    """Peers whose frames are dropped silently, in both directions.
+    """Drops the frames of chosen peers silently, in both directions.
 
-    A test cuts a link here, inside the process, so that a partition without
-    resets needs no network tooling.  Empty in production.
+    Tests simulate a network partition without connection resets this way,
+    without network tools. ``cut`` holds peer addresses; it is empty in
+    production.
     """
 
     cut: set[str] = attrs.field(factory=set)
 
     def blocks(self, peer: str) -> bool:
-        """Tell whether frames of this peer are dropped.
+        """Tell whether frames to and from a peer are dropped.
 
         :param peer: the peer's address as ``ip:port``
-        :returns: whether the link is cut; ``*`` cuts all of them
+        :returns: whether ``cut`` has the address, or ``*`` for all peers
         """
         return peer in self.cut or "*" in self.cut
--- a/packages/wire/src/chivepier/wire/frame.py
+++ b/packages/wire/src/chivepier/wire/frame.py
@@ -1,4 +1,4 @@
-"""The frame between processes."""
+"""Encoding of the frames that processes exchange."""
 
 import enum
 import typing
@@ -8,13 +8,14 @@
 from chivepier.messages import pack
 from chivepier.messages import unpack
 
+# Bytes above which a frame of several parts is split.
 MAX_BATCH_BYTES = 4 << 20
-# What reading a frame of another writer may raise.
+# Errors that decoding a malformed frame may raise.
 FRAME_ERRORS = (KeyError, TypeError, ValueError, cbor2.CBORDecodeError)
 
 
 class Part(enum.IntEnum):
-    """What one part of a frame is."""
+    """The kind of one part of a frame: one message, answer or error."""
 
     SEND = 0
     REQUEST = 1
@@ -25,10 +26,10 @@
 def pack_part(part: Part, number: int, value: typing.Any) -> tuple:
     """Build one part of a frame.
 
-    :param part: what the part is
-    :param number: pairs an answer with its request
-    :param value: a registered message, or a text for ``FAILED``
-    :returns: plain values
+    :param part: the kind of the part
+    :param number: number of the request, also used by its answer
+    :param value: a registered message, or the error's text for ``FAILED``
+    :returns: the part as plain values that CBOR can encode
     """
     if part is Part.FAILED:
         return int(part), number, 0, value
@@ -37,22 +38,23 @@
 
 
 def dump_frame(parts: list[tuple]) -> bytes:
-    """Encode the parts that are ready as one frame.
+    """Encode parts as one frame.
 
-    :param parts: what :func:`pack_part` made
-    :returns: CBOR
+    :param parts: parts built by :func:`pack_part`
+    :returns: the frame as CBOR
     """
     return cbor2.dumps(parts)
 
 
 def dump_frames(parts: list[tuple]) -> list[bytes]:
-    """Encode the parts that are ready, in more than one frame if need be.
+    """Encode parts as one or more frames of limited size.
 
-    Large parts that happen to be ready together would else make a frame
-    that the peer refuses, and the link would be lost with all of them.
+    Several large parts in one frame could exceed the size that the peer
+    accepts; the peer would close the link, and all parts would be lost.
 
-    :param parts: what :func:`pack_part` made
-    :returns: CBOR, each no longer than a frame should be, or of one part
+    :param parts: parts built by :func:`pack_part`
+    :returns: frames as CBOR, each of at most ``MAX_BATCH_BYTES`` bytes or of
+        a single part
     """
     data = dump_frame(parts)
     if len(data) <= MAX_BATCH_BYTES or len(parts) == 1:
@@ -64,14 +66,14 @@
 def load_frame(data: bytes) -> list[tuple[Part, int, typing.Any]]:
     """Decode a frame.
 
-    :param data: CBOR from a peer
-    :returns: its parts, with messages built again
-    :raises ValueError: when the frame is not one of ours
+    :param data: a frame from a peer, as CBOR
+    :returns: kind, request number and message or error text of each part
+    :raises ValueError: when the frame is malformed
     """
     try:
         return [_load_part(plain) for plain in cbor2.loads(data)]
     except FRAME_ERRORS as error:
-        raise ValueError(f"bad frame: {error!r}") from error
+        raise ValueError(f"malformed frame: {error!r}") from error
 
 
 def _load_part(plain: typing.Any) -> tuple[Part, int, typing.Any]:
--- a/packages/wire/src/chivepier/wire/linkerror.py
+++ b/packages/wire/src/chivepier/wire/linkerror.py
@@ -1,12 +1,14 @@
-"""The error of peer links."""
+"""The error raised when a peer link fails."""
 
 
 class LinkError(Exception):
     """A peer could not be reached, or did not answer in time.
 
-    Whether the peer acted on the message is unknown, unless ``sent`` is
-    false: then the message never left this process.  ``refused``: nobody
-    listens at the peer's port, so the process that did has ended.
+    :param message: what failed
+    :param sent: whether the message may have reached the peer; if false, it
+        never left this process, otherwise the outcome is unknown
+    :param refused: whether the peer's host refused the connection: nothing
+        listens on the port, so the peer's process has ended
     """
 
     def __init__(self, message: str, sent: bool, refused: bool = False):
--- a/packages/wire/src/chivepier/wire/links.py
+++ b/packages/wire/src/chivepier/wire/links.py
@@ -1,4 +1,4 @@
-"""The connecting side of peer links."""
+"""Client side of the peer links."""
 
 import asyncio
 import typing
@@ -20,14 +20,14 @@
 
 
 class Links:
-    """One outgoing channel per peer, made on first use and after a loss.
-
-    :param own_address: this process's address, as peers know it
-    :param key: that all processes of a cluster hold
-    :param handler: takes what peers send on these channels
-    :param faults: of the links, for tests
-    :param clock: by which a channel counts as silent
-    :param traffic: counts bytes
+    """Keeps one outgoing channel per peer, opened on use and reopened.
+
+    :param own_address: address under which peers know this process
+    :param key: the cluster key, shared by all processes of a cluster
+    :param handler: handles messages that peers send over these channels
+    :param faults: peers whose frames are dropped, for tests
+    :param clock: measures the age of messages and the silence of peers
+    :param traffic: counters of frames and bytes; new ones if omitted
     """
 
     def __init__(
@@ -61,21 +61,22 @@
     async def request(
         self, peer: str, value: typing.Any, timeout: float
     ) -> typing.Any:
-        """Ask a peer.
+        """Send a request to a peer and wait for its answer.
 
-        :param peer: its address as ``ip:port``
+        :param peer: address of the peer as ``ip:port``
         :param value: a registered message
-        :param timeout: seconds, connecting included
-        :returns: the answer's message
+        :param timeout: maximum seconds to connect, and again to wait for the
+            answer
+        :returns: the message in the answer
         :raises LinkError: when the peer can't be reached or does not answer
         """
         channel = await self._open(peer, timeout)
         return await channel.request(value, timeout)
 
     async def send(self, peer: str, value: typing.Any) -> None:
-        """Post a one-way message to a peer; losing it is no error.
+        """Send a one-way message to a peer; no error is raised if it is lost.
 
-        :param peer: its address as ``ip:port``
+        :param peer: address of the peer as ``ip:port``
         :param value: a registered message
         """
         try:
@@ -85,12 +86,12 @@
         channel.send(value)
 
     def post(self, peer: str, value: typing.Any) -> None:
-        """Post a one-way message without waiting for a connection.
+        """Send a one-way message without waiting for a connection.
 
-        A peer that can't be reached would else hold up whoever has news for
-        several of them.
+        A sender with messages for several peers is not delayed by a peer that
+        can't be reached.
 
-        :param peer: its address as ``ip:port``
+        :param peer: address of the peer as ``ip:port``
         :param value: a registered message
         """
         channel = self._channels.get(peer)
@@ -105,8 +106,8 @@
         channel = self._channels.get(peer)
         if channel is not None and not channel.closed:
             return channel
-        # all who wait share one attempt: one after the other, each would
-        # wait for those before it to time out
+        # Concurrent callers share one connection attempt; with one attempt
+        # after the other, each would wait for the earlier ones to time out.
         task = self._connecting.get(peer)
         if task is None:
             task = asyncio.create_task(self._connect(peer))
@@ -124,12 +125,12 @@
     def _finish_connecting(self, peer: str, task: asyncio.Task) -> None:
         del self._connecting[peer]
         if not task.cancelled():
-            # nobody may be waiting for it any more
+            # Mark the exception as retrieved: all callers may have timed out.
             task.exception()
 
     async def _connect(self, peer: str) -> Channel:
         if self._faults.blocks(peer):
-            # a cut link loses the handshake too: fail without a reset
+            # A partition drops the handshake too: time out, without a reset.
             await asyncio.sleep(CONNECT_SECONDS)
             raise LinkError(f"no connection to {peer}", sent=False)
         headers = {KEY_HEADER: self._key, PEER_HEADER: self.own_address}
--- a/packages/wire/src/chivepier/wire/outbox.py
+++ b/packages/wire/src/chivepier/wire/outbox.py
@@ -1,25 +1,26 @@
-"""What waits to be sent to one peer."""
+"""Queue of outgoing messages to one peer."""
 
 import collections
 
 from chivepier.types import Clock
 from chivepier.wire.frame import Part
 
-# Seconds after which a one-way message is no longer sent: peers ask again for
-# what they miss, several times in this time.
+# Seconds after which a queued one-way message expires: peers request missing
+# data again several times within this time.
 MAX_MESSAGE_AGE_SECONDS = 2.0
-# Seconds between two looks for such messages.
+# Seconds between two searches for expired messages.
 PURGE_INTERVAL_SECONDS = 0.5
-# Parts that are encoded at a time, once for each peer.
+# Parts that are encoded at a time: encoding a long queue for each of hundreds
+# of peers at once would block the event loop.
 MAX_BATCH_PARTS = 256
 
 
 class Outbox:
-    """Keeps the order of what is posted, and drops news that is old.
+    """Queues parts in order, and drops one-way messages that are too old.
 
-    A peer that is slower than its news would else be sent ever older ones,
-    and all that waits would fill the memory. Questions and answers are kept:
-    who asks waits for a bounded time and then asks no more.
+    Without this, a peer that reads too slowly would get ever older messages,
+    and its queue would fill the memory. Requests and answers never expire:
+    their number is bounded, as each requester stops at its timeout.
 
     >>> from chivepier.types import ManualClock
     >>> clock = ManualClock()
@@ -32,7 +33,7 @@
     >>> box.take()
     [(1, 1, 8, ())]
 
-    :param clock: by which news is old
+    :param clock: measures the age of queued messages
     """
 
     def __init__(self, clock: Clock):
@@ -46,10 +47,10 @@
         return len(self._queue)
 
     def add(self, part: tuple) -> int:
-        """Let a part wait behind the others.
+        """Append a part to the queue.
 
-        :param part: what :func:`pack_part` made
-        :returns: how many older ones were dropped
+        :param part: a part built by :func:`pack_part`
+        :returns: number of expired messages that were dropped
         """
         now = self._clock.monotonic()
         dropped = 0
@@ -75,10 +76,10 @@
         return dropped
 
     def take(self) -> list[tuple]:
-        """Return the next parts, which wait no longer."""
+        """Remove and return the next parts to send."""
         count = min(MAX_BATCH_PARTS, len(self._queue))
         return [self._queue.popleft()[1] for _ in range(count)]
 
     def clear(self) -> None:
-        """Let nothing wait any more."""
+        """Remove all queued parts."""
         self._queue.clear()
--- a/packages/wire/src/chivepier/wire/refusederror.py
+++ b/packages/wire/src/chivepier/wire/refusederror.py
@@ -1,9 +1,9 @@
-"""The error of a message that was meant for somebody else."""
+"""The error raised by a handler that rejects a message."""
 
 
 class RefusedError(ValueError):
-    """A handler refuses a message; the sender is told, nothing is logged.
+    """A handler rejects a message; the sender gets the error, without a log.
 
-    A sender that can't know better repeats itself many times a second, and
-    one line each would bury the log.
+    A sender that does not know the current recipient may retry many times a
+    second, and a log line for each retry would flood the log.
     """
--- a/packages/wire/src/chivepier/wire/server.py
+++ b/packages/wire/src/chivepier/wire/server.py
@@ -1,4 +1,4 @@
-"""The listening side of peer links."""
+"""Server side of the peer links."""
 
 import hmac
 
@@ -13,19 +13,19 @@
 
 KEY_HEADER = "x-chivepier-key"
 PEER_HEADER = "x-chivepier-peer"
-# the whole state goes in one frame
+# A snapshot of the whole state is sent as one frame.
 MAX_FRAME_BYTES = 32 << 20
 UNAUTHORIZED = 401
 
 
 class PeerServer:
-    """Accepts peers that hold the cluster key; one task per connection.
+    """Accepts connections of peers that present the cluster key.
 
-    :param host: to listen at
-    :param port: to listen at; 0 for any
-    :param handler: takes what peers send
-    :param key: that all processes of a cluster hold
-    :param clock: by which a channel counts as silent
+    :param host: address to listen on
+    :param port: port to listen on; 0 for any free port
+    :param handler: handles messages that peers send
+    :param key: the cluster key, shared by all processes of a cluster
+    :param clock: measures the age of messages and the silence of peers
     """
 
     def __init__(
@@ -58,7 +58,7 @@
 
     @property
     def port(self) -> int:
-        """The port in use, also where 0 was asked for."""
+        """The port that the server listens on."""
         return self._server.sockets[0].getsockname()[1]
 
     def _check(self, connection, request):
--- a/packages/wire/src/chivepier/wire/tests/test_backlog.py
+++ b/packages/wire/src/chivepier/wire/tests/test_backlog.py
@@ -1,4 +1,4 @@
-"""Tests of what waits for a peer that is slower than its news."""
+"""Tests of the queue for a peer that reads more slowly than it is sent to."""
 
 import asyncio
 
@@ -12,14 +12,14 @@
 from chivepier.wire.traffic import Traffic
 
 PEER = "127.0.0.1:1"
-# News a second, for a peer that takes nothing.
+# Rate of one-way messages to a peer that reads nothing.
 MESSAGES_PER_SECOND = 100
-# Number of the last message of a test.
+# Version in the last message of a test.
 LAST_VERSION = 1_000_000
 
 
 class SlowSocket:
-    """A connection that takes bytes only when it is told to."""
+    """A connection whose writes block until ``writable`` is set."""
 
     def __init__(self) -> None:
         self.sent_frames: list[bytes] = []
@@ -27,7 +27,7 @@
         self.blocked = asyncio.Event()
 
     async def send(self, data: bytes) -> None:
-        """Take a frame, later."""
+        """Record a frame once the socket is writable."""
         self.blocked.set()
         await self.writable.wait()
         self.sent_frames.append(data)
@@ -39,17 +39,17 @@
         await asyncio.Future()
 
     async def close(self) -> None:
-        """Nothing is kept."""
+        """Do nothing: the socket holds no resources."""
 
     async def drain(self, channel: Channel) -> None:
-        """Take everything that waits."""
+        """Make the socket writable and wait until the queue is sent."""
         self.writable.set()
         channel.send(FreshRequest("a", 1, LAST_VERSION))
         while LAST_VERSION not in self.read_versions():
             await asyncio.sleep(0)
 
     def read_versions(self) -> list[int]:
-        """Return the numbers of the messages, as the peer gets them."""
+        """Return the versions in the messages, in the order of sending."""
         parts = [
             part for data in self.sent_frames for part in load_frame(data)
         ]
@@ -57,7 +57,7 @@
 
 
 def run_blocked(test) -> None:
-    """Run a test over a channel whose peer takes nothing yet."""
+    """Run a test over a channel whose socket does not accept writes yet."""
 
     async def work():
         clock, socket = ManualClock(), SlowSocket()
@@ -76,7 +76,7 @@
 
 
 async def send_updates(channel, socket, clock, seconds: int) -> int:
-    """Post news for some seconds, and return how many."""
+    """Send one-way messages for some seconds, and return their number."""
     channel.send(FreshRequest("a", 1, 0))
     await socket.blocked.wait()
     for number in range(1, seconds * MESSAGES_PER_SECOND):
@@ -86,12 +86,13 @@
 
 
 def test_queue_of_a_slow_peer_is_bounded():
-    # A voter told 300 entries more than they took, and its memory was full.
+    # A voter sent 300 entries more messages than they read, and its queues
+    # filled its memory.
     async def test(channel, socket, clock):
         count = await send_updates(channel, socket, clock, 60)
         assert len(channel._outbox) <= 3 * MESSAGES_PER_SECOND
         await socket.drain(channel)
-        # the newest are not lost, and come in order
+        # The newest messages arrive, in order.
         versions = socket.read_versions()[:-1]
         assert versions[-MESSAGES_PER_SECOND:] == list(
             range(count - MESSAGES_PER_SECOND, count)
@@ -119,7 +120,7 @@
 
 
 def test_queued_messages_are_encoded_in_bounded_batches():
-    # All that waited was encoded at once, for each of hundreds of peers.
+    # The whole queue was encoded at once, for each of hundreds of peers.
     async def test(channel, socket, clock):
         channel.send(FreshRequest("a", 1, 0))
         await socket.blocked.wait()
--- a/packages/wire/src/chivepier/wire/tests/test_large.py
+++ b/packages/wire/src/chivepier/wire/tests/test_large.py
@@ -1,4 +1,4 @@
-"""Messages that are larger than most."""
+"""Tests of messages that are larger than one batch."""
 
 import asyncio
 
@@ -9,12 +9,12 @@
 from chivepier.wire import PeerServer
 
 KEY = "key-of-tests"
-# the packed state of 49,000 teams is 9.3 MB
+# The packed state of 49,000 teams is 9.3 MB.
 STATE = bytes(10_000_000)
 
 
 async def fetch(count: int) -> list[SyncAnswer]:
-    """Fetch large answers at once over a real link."""
+    """Request large answers concurrently over a real link."""
 
     def handle(message, channel):
         return SyncAnswer(message.index, (), STATE)
@@ -34,10 +34,10 @@
 
 
 def test_largest_state_fits_into_one_frame():
-    """An instance without a disk starts and fetches the whole state.
+    """An instance that starts without stored data fetches the whole state.
 
-    Larger than a frame may be, the answer closed the link each time: the
-    instance asked again and was never ready.
+    An answer above the frame limit closes the link each time: the instance
+    retries and never becomes ready.
     """
     (answer,) = asyncio.run(fetch(1))
     assert answer.snapshot == STATE
--- a/packages/wire/src/chivepier/wire/tests/test_refused.py
+++ b/packages/wire/src/chivepier/wire/tests/test_refused.py
@@ -1,4 +1,4 @@
-"""Messages that a handler refuses."""
+"""Tests of messages that a handler rejects."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
 
 
 async def send_request(handle) -> None:
-    """Ask a peer that refuses, over a real link."""
+    """Send a request to a peer that rejects it, over a real link."""
     async with PeerServer(
         "127.0.0.1", 0, handle, KEY, SystemClock()
     ) as server:
@@ -27,21 +27,21 @@
 
 
 def refuse(message, channel):
-    """Refuse at once."""
+    """Reject a message synchronously."""
     raise RefusedError("not mine")
 
 
 async def refuse_later(message, channel):
-    """Refuse after a wait."""
+    """Reject a message asynchronously."""
     raise RefusedError("not mine")
 
 
 @pytest.mark.parametrize("handle", [refuse, refuse_later])
 def test_refusal_is_answered_but_not_logged(handle):
-    """An instance lost its folder; the leader still sends to its old voter.
+    """The leader sends to a voter whose instance has lost its data.
 
-    Each message left a traceback in the log, several a second until the
-    repair.
+    Each rejected message left a traceback in the log, several a second until
+    the voter was replaced.
     """
     with logbook.TestHandler().applicationbound() as records:
         with pytest.raises(LinkError, match="not mine"):
--- a/packages/wire/src/chivepier/wire/tests/test_silence.py
+++ b/packages/wire/src/chivepier/wire/tests/test_silence.py
@@ -1,4 +1,4 @@
-"""Links that fall silent without a reset."""
+"""Tests of links that fall silent without a connection reset."""
 
 import asyncio
 import contextlib
@@ -18,13 +18,13 @@
 
 
 def answer(message, channel):
-    """Answer each question."""
+    """Answer each request."""
     return FreshAnswer("b", 1, 2)
 
 
 @contextlib.asynccontextmanager
 async def connect():
-    """Yield links, the address of a peer, and the links' faults."""
+    """Yield links, the address of a peer, and the faults of the links."""
     faults = Faults()
     async with PeerServer(
         "127.0.0.1", 0, answer, KEY, SystemClock()
@@ -34,7 +34,7 @@
 
 
 async def request_until(links, peer, outcome):
-    """Ask again and again until a request succeeds, or fails."""
+    """Repeat a request until it succeeds, or until it fails."""
     async with asyncio.timeout(30):
         while True:
             try:
@@ -48,11 +48,11 @@
 
 
 def test_silent_link_is_closed_and_replaced():
-    """A link is cut without a reset for longer than it may be silent.
+    """A partition without a reset outlasts the maximum silence of a link.
 
-    Requests end by their own time, and the next one after the cut is
-    answered: the old connection, which the kernel would try again only
-    minutes later, is not used any more.
+    Requests end at their timeout. The first one after the partition is
+    answered over a new connection: TCP might retransmit on the old one only
+    minutes later.
     """
 
     async def body():
@@ -72,10 +72,10 @@
 
 
 def test_concurrent_requests_share_one_connection_attempt():
-    """Many requests meet a peer that does not answer the handshake.
+    """A peer does not answer the handshake of many concurrent requests.
 
-    One after the other, each would wait for those before it; all end
-    within their own time.
+    With one connection attempt after the other, requests would wait for the
+    earlier ones beyond their own timeout.
     """
 
     async def body():
@@ -91,9 +91,10 @@
 
 
 def test_slow_answer_does_not_close_an_idle_link():
-    """A link was idle for long; one answer takes longer than its time.
+    """One request times out on a link that had been idle for long.
 
-    Other requests that wait on the link for a place in a queue go on.
+    Closing the link would fail other requests that wait on it, such as those
+    in a queue at the peer.
     """
 
     async def body():
--- a/packages/wire/src/chivepier/wire/traffic.py
+++ b/packages/wire/src/chivepier/wire/traffic.py
@@ -1,13 +1,14 @@
-"""What crosses the peer links of one process."""
+"""Traffic counters of the peer links of one process."""
 
 import attrs
 
 
 @attrs.define
 class Traffic:
-    """Frames and payload bytes since the start, for metrics and budgets.
+    """Counts frames and payload bytes since the process started.
 
-    ``dropped_parts`` counts one-way messages that had waited for too long.
+    ``dropped_parts`` counts one-way messages that expired before they were
+    sent.
     """
 
     sent_frames: int = 0
@@ -17,17 +18,17 @@
     dropped_parts: int = 0
 
     def count_sent(self, size: int) -> None:
-        """Count a frame that was sent.
+        """Count a sent frame.
 
-        :param size: its payload in bytes
+        :param size: size of its payload in bytes
         """
         self.sent_frames += 1
         self.sent_bytes += size
 
     def count_received(self, size: int) -> None:
-        """Count a frame that came.
+        """Count a received frame.
 
-        :param size: its payload in bytes
+        :param size: size of its payload in bytes
         """
         self.received_frames += 1
         self.received_bytes += size
