--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -39,12 +39,12 @@
         print(
             f"seed {chosen}: answered {seen.answered}, failed {seen.failed},"
             f" changes {seen.acknowledged}, faults {len(soak.faults.names)},"
-            f" broken {len(seen.broken)}",
+            f" broken {len(seen.violations)}",
             flush=True,
         )
-        if seen.broken:
+        if seen.violations:
             failed += 1
-            for text in seen.broken[:10]:
+            for text in seen.violations[:10]:
                 print(f"  {text}")
             print(f"  faults: {' '.join(soak.faults.names)}; logs: {folder}")
         else:
--- a/soak/zoneorders.py
+++ b/soak/evacuationoperator.py
@@ -14,7 +14,7 @@
 
 
 @attrs.define
-class ZoneOrders:
+class EvacuationOperator:
     """Evacuates one zone at a time and takes it back.
 
     :param controls: addresses of the voters
@@ -25,14 +25,14 @@
     controls: list[str]
     rng: random.Random
     evacuated: dict[str, float] = attrs.field(factory=dict)
-    given: int = 0
+    acknowledged_orders: int = 0
 
-    def forbids(self, zone: str) -> bool:
+    def is_evacuated(self, zone: str) -> bool:
         """Tell whether nothing may reach a zone's targets any more."""
         at = self.evacuated.get(zone)
         return at is not None and time.monotonic() - at > IN_FORCE_SECONDS
 
-    async def empty(self, session, zone: str, seconds: float) -> None:
+    async def evacuate_for(self, session, zone: str, seconds: float) -> None:
         """Evacuate a zone for some seconds.
 
         :param session: to speak to voters
@@ -58,7 +58,7 @@
                     method, url, timeout=limit
                 ) as answer:
                     if answer.status == 200:
-                        self.given += 1
+                        self.acknowledged_orders += 1
                         return
             except (aiohttp.ClientError, TimeoutError, OSError):
                 pass
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -18,14 +18,14 @@
 
 # Seconds without a fault before a planned stop that must cut nothing off: what
 # an earlier fault held up has reached its route's timeout by then.
-QUIET_SECONDS = 3.5
+SETTLE_SECONDS = 3.5
 # Sets of faults: a seed that has shown a fault keeps the set that it drew
 # from, or it would draw others and show nothing any more.
 FIRST_SET, RESTART_SET, COLD_SET, NEED_SET, NEWEST_SET = 1, 2, 3, 4, 5
 # Seconds after connections were harmed in which what was held up still comes.
-HELD_UP_SECONDS = 1.5
+DELAYED_SECONDS = 1.5
 # Seconds of rest that targets ask for.
-RESTS = (0.3, 1.0, 3.0, 8.0)
+BACKOFF_SECONDS = (0.3, 1.0, 3.0, 8.0)
 
 
 class Faults:
@@ -35,11 +35,11 @@
     :param chosen: the set that is drawn from
     """
 
-    def __init__(self, soak: "Soak", chosen: int):
+    def __init__(self, soak: "Soak", fault_set: int):
         self._soak = soak
         self._rng = soak.rng
         self.names: list[str] = []
-        self._first: list[collections.abc.Callable] = []
+        self._required: list[collections.abc.Callable] = []
         self._kinds = (
             self.kill,
             self.freeze,
@@ -51,17 +51,17 @@
             self.wipe,
             self.hang_up,
         )
-        if chosen > FIRST_SET:
+        if fault_set > FIRST_SET:
             self._kinds += (self.restart_target, self.write_nonsense)
-        self._cold = chosen > RESTART_SET
+        self._cold = fault_set > RESTART_SET
         if self._cold:
             self._kinds += (self.evacuate, self.turn_cold)
-        if chosen > COLD_SET:
+        if fault_set > COLD_SET:
             self._kinds += (self.need, self.need)
-        if chosen > NEED_SET:
+        if fault_set > NEED_SET:
             self._kinds += (self.rest, self.rest, self.leave)
-        self._orders: asyncio.Task | None = None
-        self._lasting: set[asyncio.Task] = set()
+        self._evacuation: asyncio.Task | None = None
+        self._background: set[asyncio.Task] = set()
 
     def keep_only(self, *names: str) -> None:
         """Inject these faults alone: each once, and then drawn ones.
@@ -69,7 +69,7 @@
         :param names: of this class's methods
         """
         self._kinds = tuple(getattr(self, name) for name in names)
-        self._first = list(self._kinds)
+        self._required = list(self._kinds)
 
     async def inject(self, seconds: float) -> None:
         """Inject faults, in series."""
@@ -86,31 +86,31 @@
         for process in (*self._soak.voters, *self._soak.entries):
             if not process.alive:
                 text = f"{process.name} has ended by itself"
-                self._soak.promises.broken.append(text)
+                self._soak.checker.violations.append(text)
                 process.start()
 
     def _draw(self) -> collections.abc.Callable:
         # callers draw from the same numbers, in an order that differs: a kind
         # that a test is about might not come at all
-        if self._first:
-            return self._first.pop(0)
+        if self._required:
+            return self._required.pop(0)
         return self._rng.choice(self._kinds)
 
     async def finish(self) -> None:
         """Let what goes on beside other faults come to its end."""
-        if self._orders is not None:
-            await self._orders
-        await asyncio.gather(*self._lasting)
+        if self._evacuation is not None:
+            await self._evacuation
+        await asyncio.gather(*self._background)
 
     async def evacuate(self) -> None:
         """Evacuate a zone while other faults go on; one at a time."""
-        if self._orders is not None and not self._orders.done():
+        if self._evacuation is not None and not self._evacuation.done():
             return
         target = self._rng.choice(self._soak.targets)
-        work = self._soak.zone_orders.empty(
+        work = self._soak.evacuations.evacuate_for(
             self._soak.session, target.zone, self._rng.uniform(0.5, 12.0)
         )
-        self._orders = asyncio.create_task(work)
+        self._evacuation = asyncio.create_task(work)
 
     async def turn_cold(self) -> None:
         """Let a target become cold at once, and say so with its next word."""
@@ -127,45 +127,45 @@
     def _begin(self, work: collections.abc.Coroutine) -> None:
         """Let something go on beside other faults."""
         task = asyncio.create_task(work)
-        self._lasting.add(task)
-        task.add_done_callback(self._lasting.discard)
+        self._background.add(task)
+        task.add_done_callback(self._background.discard)
 
     async def rest(self) -> None:
         """Let targets turn requests away and ask for rest for a while."""
         count = self._rng.randint(1, len(self._soak.targets))
         for target in self._rng.sample(self._soak.targets, count):
-            if not target.wishes.full:
+            if not target.signals.overloaded:
                 self._begin(self._ask_for_rest(target))
 
     async def _ask_for_rest(self, target: "SoakTarget") -> None:
-        target.wishes.full = True
-        target.wishes.rest = self._rng.choice(RESTS)
+        target.signals.overloaded = True
+        target.signals.rest = self._rng.choice(BACKOFF_SECONDS)
         await asyncio.sleep(self._rng.uniform(0.3, 6.0))
-        target.wishes.full = False
+        target.signals.overloaded = False
 
     async def leave(self) -> None:
         """Let a target say in its answers alone that it leaves, and end."""
         # one stays: where no target at all is heard, all remain in use
         target = self._rng.choice(self._soak.targets[1:])
-        if not target.wishes.leaves:
-            target.wishes.leaves = True
+        if not target.signals.is_leaving:
+            target.signals.is_leaving = True
             self._begin(self._end_leaver(target))
 
     async def _end_leaver(self, target: "SoakTarget") -> None:
         await asyncio.sleep(self._rng.uniform(1.0, 4.0))
-        if target.wishes.leaves:
+        if target.signals.is_leaving:
             await target.restart(self._rng.uniform(0.0, 1.0))
 
     async def _name_limits(self, target: "SoakTarget") -> None:
         for _ in range(self._rng.randint(1, 2)):
-            target.name_limit(self._rng.choice((0.0, 0.7, 1.5, 4.0)))
+            target.announce_limit(self._rng.choice((0.0, 0.7, 1.5, 4.0)))
             await asyncio.sleep(self._rng.uniform(2.0, 9.0))
-        target.name_limit(None)
+        target.announce_limit(None)
 
     async def kill(self) -> None:
         """Kill a process; it comes back soon."""
         process = self._rng.choice((*self._soak.voters, *self._soak.entries))
-        with self._soak.harm(process):
+        with self._soak.exempt(process):
             process.end()
             await asyncio.sleep(self._rng.uniform(0.0, 1.0))
             process.start()
@@ -173,7 +173,7 @@
     async def freeze(self) -> None:
         """Let a process stand still."""
         process = self._rng.choice((*self._soak.voters, *self._soak.entries))
-        with self._soak.harm(process):
+        with self._soak.exempt(process):
             process.signal(signal.SIGSTOP)
             await asyncio.sleep(self._rng.uniform(0.1, 3.0))
             process.signal(signal.SIGCONT)
@@ -184,54 +184,56 @@
         process.signal(signal.SIGTERM)
         while process.alive:
             await asyncio.sleep(0.05)
-        with self._soak.harm(process):
+        with self._soak.exempt(process):
             process.start()
 
     async def stop_entry(self) -> None:
         """Stop an entry while nothing else goes wrong; it cuts nothing."""
-        await asyncio.sleep(QUIET_SECONDS)
+        await asyncio.sleep(SETTLE_SECONDS)
         entry = self._rng.choice(self._soak.entries)
-        self._soak.planned = entry
+        self._soak.stopping_entry = entry
         entry.signal(signal.SIGTERM)
         while entry.alive:
             await asyncio.sleep(0.05)
         # what it was asked just before its end comes to the callers' notice
         await asyncio.sleep(0.2)
-        self._soak.planned = None
-        with self._soak.harm(entry):
+        self._soak.stopping_entry = None
+        with self._soak.exempt(entry):
             entry.start()
 
     async def hang_up(self) -> None:
         """Tell a process that its settings have changed."""
         process = self._rng.choice((*self._soak.voters, *self._soak.entries))
-        while process.alive and not process.takes(signal.SIGHUP):
+        while process.alive and not process.handles_signal(signal.SIGHUP):
             await asyncio.sleep(0.01)
         process.signal(signal.SIGHUP)
 
     async def spoil(self) -> None:
         """Let a target misbehave for a moment."""
         target = self._rng.choice(self._soak.targets)
-        target.mood = self._rng.choice(("reset", "silent", "shed"))
+        target.fault_mode = self._rng.choice(("reset", "silent", "shed"))
         await asyncio.sleep(self._rng.uniform(0.1, 1.5))
-        target.mood = ""
+        target.fault_mode = ""
 
     async def harm_links(self) -> None:
         """Delay, reset or silence the connections to one target."""
         proxy = self._rng.choice(self._soak.proxies)
-        mood = self._rng.choice((SLOW, LOST_SENT, LOST_ANSWERS, "reset"))
-        self.names[-1] += f":{mood}"
-        with self._soak.harm(*self._soak.entries, longer=HELD_UP_SECONDS):
-            if mood == "reset":
+        fault_mode = self._rng.choice((SLOW, LOST_SENT, LOST_ANSWERS, "reset"))
+        self.names[-1] += f":{fault_mode}"
+        with self._soak.exempt(
+            *self._soak.entries, extra_seconds=DELAYED_SECONDS
+        ):
+            if fault_mode == "reset":
                 proxy.reset()
                 return
-            proxy.mood = mood
+            proxy.fault_mode = fault_mode
             await asyncio.sleep(self._rng.uniform(0.1, 1.5))
-            proxy.mood = ""
+            proxy.fault_mode = ""
 
     async def kill_all(self) -> None:
         """Kill all processes at once; their disks stay."""
         processes = (*self._soak.voters, *self._soak.entries)
-        with self._soak.harm(*processes):
+        with self._soak.exempt(*processes):
             for process in processes:
                 process.end()
             await asyncio.sleep(self._rng.uniform(0.0, 0.5))
--- a/soak/nonsense.py
+++ b/soak/nonsense.py
@@ -10,16 +10,16 @@
 if typing.TYPE_CHECKING:
     from soak.run import Soak
 
-REFUSED = 400
+BAD_REQUEST_STATUS = 400
 WRITES = 6
-PLAIN = {
+VALID_FIELDS = {
     "service": "s",
     "address": "127.0.0.1:9",
     "slots": 8,
     "state": "ready",
     "seq": 10**6,
 }
-STRANGE = (
+INVALID_FIELDS = (
     {"state": "asleep"},
     {"state": None},
     {"seq": True},
@@ -32,7 +32,7 @@
     {"cold-left-ms": float("nan")},
     {"born": 1.5},
 )
-BYTES = (b"", b"{", b"\xff\xfe\x00", b"[]", b"null")
+INVALID_BODIES = (b"", b"{", b"\xff\xfe\x00", b"[]", b"null")
 
 
 async def write_nonsense(soak: "Soak", rng: random.Random) -> None:
@@ -51,14 +51,14 @@
     soak: "Soak", rng: random.Random, session: aiohttp.ClientSession
 ) -> None:
     names = ["i-unknown", *(target.instance for target in soak.targets)]
-    body = json.dumps({**PLAIN, **rng.choice(STRANGE)}).encode()
-    body = rng.choice((body, rng.choice(BYTES)))
+    body = json.dumps({**VALID_FIELDS, **rng.choice(INVALID_FIELDS)}).encode()
+    body = rng.choice((body, rng.choice(INVALID_BODIES)))
     path = f"/chivepier/instances/{rng.choice(names)}"
     url = f"http://{rng.choice(soak.controls)}{path}"
     try:
         async with session.put(url, data=body) as answer:
-            if answer.status != REFUSED:
+            if answer.status != BAD_REQUEST_STATUS:
                 text = f"{body!r} to {path}: {answer.status}"
-                soak.promises.broken.append(text)
+                soak.checker.violations.append(text)
     except (aiohttp.ClientError, TimeoutError, OSError):
         await asyncio.sleep(0.05)
--- a/soak/process.py
+++ b/soak/process.py
@@ -10,8 +10,8 @@
 
 import aiohttp
 
-TOP = pathlib.Path(__file__).parents[1]
-PROGRAM = TOP / "platform" / "chivepierd.py"
+ROOT = pathlib.Path(__file__).parents[1]
+PROGRAM = ROOT / "platform" / "chivepierd.py"
 # Seconds for one call of a caller or operator: beyond every deadline here.
 SESSION_SECONDS = 6.0
 SETTINGS = """node-name={name}
@@ -113,7 +113,7 @@
         if self.alive:
             self._child.send_signal(number)
 
-    def takes(self, number: int) -> bool:
+    def handles_signal(self, number: int) -> bool:
         """Tell whether it runs its program, and a signal does not end it."""
         if not self.alive:
             return False
@@ -126,7 +126,7 @@
         return bool(mask >> (number - 1) & 1)
 
     @property
-    def loads(self) -> bool:
+    def is_loading(self) -> bool:
         """Whether it has begun to load its libraries."""
         maps = pathlib.Path(f"/proc/{self._child.pid}/maps")
         return self.alive and "site-packages" in maps.read_text()
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -5,7 +5,7 @@
 import socket
 import struct
 
-PART_BYTES = 1 << 16
+CHUNK_BYTES = 1 << 16
 # Seconds that a slow link holds each part back: from a few round trips
 # between availability zones to more than the objective of a call.
 DELAY_SECONDS = (0.02, 0.4)
@@ -28,11 +28,11 @@
     :param rng: draws delays
     """
 
-    def __init__(self, address: str, behind: str, rng: random.Random):
+    def __init__(self, address: str, upstream: str, rng: random.Random):
         self.address = address
-        self.mood = ""
-        self.silenced = 0
-        self._behind = behind
+        self.fault_mode = ""
+        self.silenced_connections = 0
+        self._upstream = upstream
         self._rng = rng
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
@@ -69,7 +69,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _serve(self, reader, writer) -> None:
-        host, port = self._behind.split(":")
+        host, port = self._upstream.split(":")
         try:
             other_reader, other = await asyncio.open_connection(
                 host, int(port)
@@ -92,14 +92,14 @@
             writer.transport.abort()
             other.transport.abort()
 
-    async def _pump(self, reader, writer, lost: str) -> None:
+    async def _pump(self, reader, writer, dropped_mode: str) -> None:
         silent = False
-        while data := await reader.read(PART_BYTES):
-            if self.mood == SLOW:
+        while data := await reader.read(CHUNK_BYTES):
+            if self.fault_mode == SLOW:
                 await asyncio.sleep(self._rng.uniform(*DELAY_SECONDS))
-            if self.mood == lost and not silent:
+            if self.fault_mode == dropped_mode and not silent:
                 silent = True
-                self.silenced += 1
+                self.silenced_connections += 1
             if not silent:
                 writer.write(data)
                 await writer.drain()
--- a/soak/reply.py
+++ b/soak/reply.py
@@ -16,4 +16,4 @@
     at: float
     status: int
     seconds: float
-    back: float | None
+    retry_after: float | None
--- a/soak/run.py
+++ b/soak/run.py
@@ -11,25 +11,25 @@
 
 import aiohttp
 
+from soak.evacuationoperator import EvacuationOperator
 from soak.faults import Faults
 from soak.faults import NEWEST_SET
+from soak.invariantchecker import InvariantChecker
 from soak.process import Process
 from soak.process import run_all
-from soak.promises import Promises
 from soak.proxy import Proxy
+from soak.signalchecker import make_sender_headers
 from soak.target import describe
 from soak.target import SoakTarget
-from soak.wishes import name_sender
-from soak.zoneorders import ZoneOrders
 
 VOTERS, ENTRIES, TARGETS = 3, 3, 3
 # Seconds after an acknowledgement from which no read may be older.
 APPLY_SECONDS = 2.0
 # Seconds after the last fault within which callers must be served again.
-RECOVER_SECONDS = 20.0
+RECOVERY_SECONDS = 20.0
 CALLERS = 6
 # Seconds after which a target that is not heard is no longer used.
-SILENT_SECONDS = 5.0
+TARGET_TTL_SECONDS = 5.0
 # Requests a second that a cold target bears, far below what it gets warm.
 COLD_RATE = 5.0
 
@@ -78,7 +78,7 @@
         kinds: int = NEWEST_SET,
     ):
         self.rng = random.Random(seed)
-        self.promises = Promises()
+        self.checker = InvariantChecker()
         base = f"127.{block}"
         voters = [f"{base}.1.{n + 1}" for n in range(VOTERS)]
         self.controls = [f"{ip}:8748" for ip in voters]
@@ -98,28 +98,28 @@
                 f"{base}.3.{n}:8080",
                 f"{base}.4.{n}:8080",
                 self.controls,
-                self.promises,
+                self.checker,
                 self.rng,
             )
             for n in range(1, TARGETS + 1)
         ]
-        self.zone_orders = ZoneOrders(self.controls, self.rng)
+        self.evacuations = EvacuationOperator(self.controls, self.rng)
         for number, target in enumerate(self.targets, 1):
             target.zone = f"z{number}"
-            target.forbids = self.zone_orders.forbids
-            target.wishes.excuses = self.excuses
+            target.is_evacuated = self.evacuations.is_evacuated
+            target.signals.is_excused = self.is_excused
         self.session: aiohttp.ClientSession | None = None
         self.folder = folder
         self.version = 0
         self.acknowledged: list[tuple[float, int]] = []
         self.number = 0
-        self.planned: Process | None = None
-        self._harmed: dict[str, float] = {}
+        self.stopping_entry: Process | None = None
+        self._exempt_until: dict[str, float] = {}
         self.faults = Faults(self, kinds)
 
     @contextlib.contextmanager
-    def harm(
-        self, *processes: Process, longer: float = 0.0
+    def exempt(
+        self, *processes: Process, extra_seconds: float = 0.0
     ) -> collections.abc.Iterator[None]:
         """Excuse processes from what targets ask them, while they are harmed.
 
@@ -127,18 +127,20 @@
         :param longer: seconds after the harm in which that may still be so
         """
         for process in processes:
-            self._harmed[process.ip] = float("inf")
+            self._exempt_until[process.ip] = float("inf")
         try:
             yield
         finally:
             for process in processes:
-                self._harmed[process.ip] = time.monotonic() + longer
+                self._exempt_until[process.ip] = (
+                    time.monotonic() + extra_seconds
+                )
 
-    def excuses(self, entry: str, since: float) -> bool:
+    def is_excused(self, entry: str, since: float) -> bool:
         """Tell whether an entry was harmed after a moment."""
-        return self._harmed.get(entry, since) > since
+        return self._exempt_until.get(entry, since) > since
 
-    async def run(self, seconds: float) -> Promises:
+    async def run(self, seconds: float) -> InvariantChecker:
         """Play the seed.
 
         :param seconds: for which faults are injected
@@ -151,23 +153,26 @@
             self.session = session
             for part in (*self.targets, *self.proxies):
                 await stack.enter_async_context(part)
-            await self.change(session, 30.0)
+            await self.update_config(session, 30.0)
             works = [self.call(session, n) for n in range(CALLERS)]
-            works += [self.operate(session), self.read(session)]
+            works += [
+                self.update_config_repeatedly(session),
+                self.read(session),
+            ]
             tasks = [asyncio.create_task(work) for work in works]
             try:
                 await self.faults.inject(seconds)
                 await self.faults.finish()
                 await self.recover()
-                await self.check_end(session)
+                await self.check_final_config(session)
             finally:
                 for task in tasks:
                     task.cancel()
                 ends = await asyncio.gather(*tasks, return_exceptions=True)
             for end in ends:
                 if not isinstance(end, asyncio.CancelledError):
-                    self.promises.broken.append(f"the soak failed: {end!r}")
-        return self.promises
+                    self.checker.violations.append(f"the soak failed: {end!r}")
+        return self.checker
 
     async def call(self, session, caller: int) -> None:
         """Send one request after the other."""
@@ -177,25 +182,27 @@
             kind = self.rng.choice(("once", "once", "again", "stream"))
             entry = self.rng.choice(self.entries)
             try:
-                await self.ask(session, entry, kind, identity)
+                await self.send_request(session, entry, kind, identity)
             except (aiohttp.ClientError, TimeoutError, OSError) as error:
-                self.promises.note_cut(identity, error, entry is self.planned)
+                self.checker.record_failure(
+                    identity, error, entry is self.stopping_entry
+                )
             await asyncio.sleep(0.02)
 
-    async def ask(self, session, entry, kind, identity) -> None:
+    async def send_request(self, session, entry, kind, identity) -> None:
         """Send one request and note its answer."""
         headers = {
             "Host": "h.example",
             "X-Chivepier-Request-Id": identity,
             "X-Api-Key": "k1",
             "X-Chivepier-Deadline-Ms": "4000",
-            **name_sender(entry.ip),
+            **make_sender_headers(entry.ip),
         }
         url = f"http://{entry.ip}:8740/{kind}/{identity}"
         async with session.post(url, data=b"x", headers=headers) as answer:
             if kind != "stream" or answer.status != 200:
                 body = await answer.read()
-                self.promises.note_answer(identity, answer.status, body)
+                self.checker.record_answer(identity, answer.status, body)
                 return
             data, whole = b"", False
             try:
@@ -203,16 +210,18 @@
                     data += part
                 whole = True
             except (aiohttp.ClientError, TimeoutError) as error:
-                self.promises.note_cut(identity, error, entry is self.planned)
-            self.promises.note_stream(identity, data, whole)
+                self.checker.record_failure(
+                    identity, error, entry is self.stopping_entry
+                )
+            self.checker.record_stream(identity, data, whole)
 
-    async def operate(self, session) -> None:
+    async def update_config_repeatedly(self, session) -> None:
         """Send a new configuration now and then."""
         while True:
             await asyncio.sleep(self.rng.uniform(0.3, 2.0))
-            await self.change(session, 10.0)
+            await self.update_config(session, 10.0)
 
-    async def change(self, session, seconds: float) -> None:
+    async def update_config(self, session, seconds: float) -> None:
         """Send a configuration until it is acknowledged."""
         self.version += self.rng.randint(1, 5)
         body = json.dumps(make_config(self.version))
@@ -228,11 +237,11 @@
                     if answer.status == 200:
                         moment = time.monotonic()
                         self.acknowledged.append((moment, self.version))
-                        self.promises.acknowledged += 1
+                        self.checker.acknowledged += 1
                         return
                     if answer.status != 503:
                         text = f"version {self.version}: {answer.status}"
-                        self.promises.broken.append(text)
+                        self.checker.violations.append(text)
                         return
             except (aiohttp.ClientError, TimeoutError, OSError):
                 pass
@@ -241,10 +250,10 @@
     async def read(self, session) -> None:
         """Read the configuration back, at any voter."""
         while True:
-            await self.read_once(session)
+            await self.check_config(session)
             await asyncio.sleep(0.2)
 
-    async def read_once(self, session) -> int | None:
+    async def check_config(self, session) -> int | None:
         """Read it at one voter and check it against what was promised."""
         sent = time.monotonic()
         floor = max(
@@ -261,7 +270,7 @@
                 version = json.loads(await answer.read())["version"]
         except (aiohttp.ClientError, TimeoutError, OSError):
             return None
-        self.promises.note_read(version, floor)
+        self.checker.check_read(version, floor)
         return version
 
     async def recover(self) -> None:
@@ -270,32 +279,32 @@
             process.signal(signal.SIGCONT)
             process.start()
         for part in (*self.targets, *self.proxies):
-            part.mood = ""
+            part.fault_mode = ""
         if any(target.restarted for target in self.targets):
             # until then one whose word is not taken is still in use
-            await asyncio.sleep(SILENT_SECONDS)
+            await asyncio.sleep(TARGET_TTL_SECONDS)
             for target in self.targets:
                 target.runs = 0
-        wanted = self.promises.answered + 30
-        end = time.monotonic() + RECOVER_SECONDS
-        while self.promises.answered < wanted or self.find_unused():
+        wanted = self.checker.answered + 30
+        end = time.monotonic() + RECOVERY_SECONDS
+        while self.checker.answered < wanted or self.find_idle():
             if time.monotonic() > end:
                 text = f"not served after the faults; {describe(self.targets)}"
-                text += f"; unused: {self.find_unused()}"
-                self.promises.broken.append(text)
+                text += f"; unused: {self.find_idle()}"
+                self.checker.violations.append(text)
                 return
             await asyncio.sleep(0.1)
 
-    def find_unused(self) -> list[str]:
+    def find_idle(self) -> list[str]:
         """Return the targets that started again and run nothing now."""
         return [t.address for t in self.targets if t.restarted and not t.runs]
 
-    async def check_end(self, session) -> None:
+    async def check_final_config(self, session) -> None:
         """Read back the newest acknowledged configuration."""
         await asyncio.sleep(APPLY_SECONDS)
-        end = time.monotonic() + RECOVER_SECONDS
-        while await self.read_once(session) is None:
+        end = time.monotonic() + RECOVERY_SECONDS
+        while await self.check_config(session) is None:
             if time.monotonic() > end:
-                self.promises.broken.append("no configuration can be read")
+                self.checker.violations.append("no configuration can be read")
                 return
             await asyncio.sleep(0.1)
--- a/soak/wishes.py
+++ b/soak/signalchecker.py
@@ -6,17 +6,17 @@
 import attrs
 
 # Seconds after an answer in which what was under way may still arrive.
-UNDER_WAY_SECONDS = 0.5
+IN_FLIGHT_SECONDS = 0.5
 
-Excuses = collections.abc.Callable[[str, float], bool]
+IsExcused = collections.abc.Callable[[str, float], bool]
 
 
-def excuse_nobody(entry: str, since: float) -> bool:
+def excuse_none(entry: str, since: float) -> bool:
     """Excuse no entry: none of them is harmed."""
     return False
 
 
-def name_sender(entry: str) -> dict[str, str]:
+def make_sender_headers(entry: str) -> dict[str, str]:
     """Return the headers by which targets know whom a request comes from.
 
     :param entry: that it is sent to now
@@ -25,7 +25,7 @@
 
 
 @attrs.define
-class Wishes:
+class SignalChecker:
     """Checks what entries send a target that asked them for something.
 
     :param full: whether it turns away what it gets
@@ -34,54 +34,56 @@
     :param excuses: tells whether an entry was harmed since a moment
     """
 
-    full: bool = False
+    overloaded: bool = False
     rest: float | None = None
-    leaves: bool = False
-    excuses: Excuses = excuse_nobody
-    ignored: list[str] = attrs.field(factory=list)
+    is_leaving: bool = False
+    is_excused: IsExcused = excuse_none
+    violations: list[str] = attrs.field(factory=list)
     refusals: int = 0
-    _rests: dict[str, list[tuple[float, float]]] = attrs.field(factory=dict)
-    _told: dict[str, float] = attrs.field(factory=dict)
+    _backoffs: dict[str, list[tuple[float, float]]] = attrs.field(factory=dict)
+    _leaving_since: dict[str, float] = attrs.field(factory=dict)
 
-    def note_arrival(self, entry: str, sent: float, now: float) -> None:
+    def check_arrival(self, entry: str, sent: float, now: float) -> None:
         """Check a request that arrives.
 
         :param entry: that it comes from
         :param sent: when its caller sent it, in monotonic seconds
         :param now: monotonic seconds
         """
-        for since, until in self._rests.get(entry, ()):
-            late = since + UNDER_WAY_SECONDS <= now < until
-            if late and not self.excuses(entry, since):
+        for since, until in self._backoffs.get(entry, ()):
+            late = since + IN_FLIGHT_SECONDS <= now < until
+            if late and not self.is_excused(entry, since):
                 text = f"{entry} sent {now - since:.2f} s after it was asked"
-                self.ignored.append(f"{text} to wait {until - since:.2f} s")
-        told = self._told.get(entry)
-        if told is not None and sent > told + UNDER_WAY_SECONDS:
-            if not self.excuses(entry, told):
+                self.violations.append(f"{text} to wait {until - since:.2f} s")
+        told = self._leaving_since.get(entry)
+        if told is not None and sent > told + IN_FLIGHT_SECONDS:
+            if not self.is_excused(entry, told):
                 text = f"{entry} sent what came {sent - told:.2f} s after"
-                self.ignored.append(f"{text} the target said that it leaves")
+                self.violations.append(
+                    f"{text} the target said that it leaves"
+                )
 
-    def note_answer(self, entry: str, refused: bool, now: float) -> None:
+    def record_answer(self, entry: str, refused: bool, now: float) -> None:
         """Note what an answer asks of the entry that gets it."""
         if refused:
             self.refusals += 1
         if refused and self.rest is not None:
-            kept = [r for r in self._rests.get(entry, ()) if r[1] > now]
-            self._rests[entry] = [*kept, (now, now + self.rest)]
-        if self.leaves:
-            self._told.setdefault(entry, now)
+            kept = [r for r in self._backoffs.get(entry, ()) if r[1] > now]
+            self._backoffs[entry] = [*kept, (now, now + self.rest)]
+        if self.is_leaving:
+            self._leaving_since.setdefault(entry, now)
 
     def make_headers(self, refused: bool) -> dict[str, str]:
         """Return what its answers say."""
         headers = {}
         if refused and self.rest is not None:
             headers["Retry-After"] = f"{self.rest:g}"
-        if self.leaves:
+        if self.is_leaving:
             headers["Server-Leaving"] = "1"
         return headers
 
-    def begin_anew(self) -> None:
+    def reset(self) -> None:
         """Start again: the next life has asked nobody for anything."""
-        self.full, self.rest, self.leaves = False, None, False
-        self._rests.clear()
-        self._told.clear()
+        self.overloaded, self.rest, self.is_leaving = False, None, False
+        self._backoffs.clear()
+        self._leaving_since.clear()
--- a/soak/target.py
+++ b/soak/target.py
@@ -11,31 +11,31 @@
 import aiohttp
 from aiohttp import web
 
-from soak.promises import make_body
-from soak.promises import Promises
-from soak.wishes import Wishes
+from soak.invariantchecker import InvariantChecker
+from soak.invariantchecker import make_expected_body
+from soak.signalchecker import SignalChecker
 
-BEAT_SECONDS = 0.4
-WORK_SECONDS = 0.02
-EVENTS = 20
-LONG_LIVED = 10_000
+HEARTBEAT_SECONDS = 0.4
+SERVICE_SECONDS = 0.02
+EVENT_COUNT = 20
+INITIAL_SEQUENCE = 10_000
 # What a cold target bears within one second, from all entries together.
-COLD_BOUND = 12
+MAX_COLD_REQUESTS = 12
 # Seconds after it said that it is cold from which it must be spared: entries
 # are told at once, and what was being sent then has arrived.
-TOLD_SECONDS = 1.0
+COLD_NOTICE_SECONDS = 1.0
 # Seconds after a limit was first named from which it binds all entries, those
 # included that were harmed when it was named.
-TOUCH_SECONDS = 3.0
+PROPAGATION_SECONDS = 3.0
 # Seconds in which requests are counted, and what may come in them, as a
 # factor on the rate and requests above that.
-NEED_SECONDS = 4.0
-NEED_EXCESS = 1.5
-NEED_SLACK = 5
+LIMIT_WINDOW_SECONDS = 4.0
+LIMIT_EXCESS = 1.5
+LIMIT_SLACK = 5
 # Arrivals that are remembered of a target that is not in need.
-MOST_ARRIVALS = 1_000
+MAX_ARRIVALS = 1_000
 
-Forbids = collections.abc.Callable[[str], bool]
+IsEvacuated = collections.abc.Callable[[str], bool]
 
 
 class SoakTarget:
@@ -56,38 +56,38 @@
         address: str,
         announced: str,
         controls: list[str],
-        promises: Promises,
+        checker: InvariantChecker,
         rng: random.Random,
     ):
         self.address = address
         self._announced = announced
-        self.mood = ""
+        self.fault_mode = ""
         self._controls = controls
-        self._promises = promises
+        self._checker = checker
         self._rng = rng
         self.instance = f"i-{secrets.token_hex(4)}"
         self.zone = "z"
-        self.forbids: Forbids = lambda zone: False
+        self.is_evacuated: IsEvacuated = lambda zone: False
         self._cold_until = 0.0
-        self._cold_told: float | None = None
-        self._arrived: list[float] = []
-        self.wishes = Wishes(ignored=promises.broken)
+        self._cold_known_at: float | None = None
+        self._cold_arrivals: list[float] = []
+        self.signals = SignalChecker(violations=checker.violations)
         self.limit: float | None = None
         self.arrivals: list[float] = []
-        self._told_at: float | None = None
-        self._life = asyncio.Lock()
+        self._limit_known_at: float | None = None
+        self._restart_lock = asyncio.Lock()
         self.restarted = False
         self.runs = 0
-        self._born = 0
+        self._started_ms = 0
         # as if it had lived for long: its next life counts from the beginning
-        self._number = LONG_LIVED
+        self._sequence = INITIAL_SEQUENCE
         self._server: web.Server | None = None
         self._listener: asyncio.Server | None = None
         self._task: asyncio.Task | None = None
 
     async def __aenter__(self) -> "SoakTarget":
         # always later than before, as the unit is a millisecond
-        self._born = max(self._born + 1, int(1000 * time.time()))
+        self._started_ms = max(self._started_ms + 1, int(1000 * time.time()))
         self._server = web.Server(self._serve, access_log=None)
         host, port = self.address.split(":")
         loop = asyncio.get_running_loop()
@@ -105,46 +105,56 @@
     def turn_cold(self, seconds: float) -> None:
         """Bear less for some seconds; its next words say so."""
         self._cold_until = time.monotonic() + seconds
-        self._cold_told = None
+        self._cold_known_at = None
 
-    def _note_arrival(self) -> None:
+    def _check_cold_limit(self) -> None:
         """Check what may reach it at all, and how much while it is cold."""
         now = time.monotonic()
-        if self.forbids(self.zone):
+        if self.is_evacuated(self.zone):
             text = f"{self.address} was sent to in evacuated {self.zone}"
-            self._promises.broken.append(text)
-        told = self._cold_told
+            self._checker.violations.append(text)
+        told = self._cold_known_at
         if now >= self._cold_until or told is None or now < told:
-            self._arrived.clear()
+            self._cold_arrivals.clear()
             return
-        self._arrived = [at for at in self._arrived if now - at < 1.0]
-        self._arrived.append(now)
-        if len(self._arrived) > COLD_BOUND:
-            text = f"{len(self._arrived)} a second at cold {self.address}"
-            self._promises.broken.append(text)
+        self._cold_arrivals = [
+            at for at in self._cold_arrivals if now - at < 1.0
+        ]
+        self._cold_arrivals.append(now)
+        if len(self._cold_arrivals) > MAX_COLD_REQUESTS:
+            text = (
+                f"{len(self._cold_arrivals)} a second at cold {self.address}"
+            )
+            self._checker.violations.append(text)
 
-    def name_limit(self, rate: float | None) -> None:
+    def announce_limit(self, rate: float | None) -> None:
         """Name the requests a second that it takes; or none any more.
 
         :param rate: from all entries together
         """
-        self.limit, self._told_at = rate, None
+        self.limit, self._limit_known_at = rate, None
         self.arrivals.clear()
 
-    def _note_need(self) -> None:
+    def _check_rate_limit(self) -> None:
         """Check what reaches it while it names a limit."""
         now = time.monotonic()
         self.arrivals.append(now)
         if self.limit is None:
-            del self.arrivals[:-MOST_ARRIVALS]
+            del self.arrivals[:-MAX_ARRIVALS]
             return
-        if self._told_at is None:
-            self._told_at = now + TOUCH_SECONDS
-        since = max(self._told_at, now - NEED_SECONDS)
+        if self._limit_known_at is None:
+            self._limit_known_at = now + PROPAGATION_SECONDS
+        since = max(self._limit_known_at, now - LIMIT_WINDOW_SECONDS)
         count = sum(at >= since for at in self.arrivals)
-        if count > NEED_EXCESS * NEED_SECONDS * self.limit + NEED_SLACK:
-            text = f"{count} in {NEED_SECONDS} s at {self.address}, in need"
-            self._promises.broken.append(text)
+        if (
+            count
+            > LIMIT_EXCESS * LIMIT_WINDOW_SECONDS * self.limit + LIMIT_SLACK
+        ):
+            text = (
+                f"{count} in {LIMIT_WINDOW_SECONDS} s at {self.address},"
+                " in need"
+            )
+            self._checker.violations.append(text)
 
     def crash(self) -> None:
         """Lose all connections and all that runs, at once."""
@@ -159,32 +169,32 @@
 
         :param seconds: until it starts again
         """
-        async with self._life:
+        async with self._restart_lock:
             await self.__aexit__()
-            self.wishes.begin_anew()
+            self.signals.reset()
             await asyncio.sleep(seconds)
             # nobody knows yet what the next life names
-            self.name_limit(self.limit)
-            self.restarted, self.runs, self._number = True, 0, 0
+            self.announce_limit(self.limit)
+            self.restarted, self.runs, self._sequence = True, 0, 0
             await self.__aenter__()
 
     async def _announce(self) -> None:
         timeout = aiohttp.ClientTimeout(total=1.0)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
-                await self._beat(session)
-                await asyncio.sleep(BEAT_SECONDS)
+                await self._send_heartbeat(session)
+                await asyncio.sleep(HEARTBEAT_SECONDS)
 
-    async def _beat(self, session: aiohttp.ClientSession) -> None:
-        self._number += 1
+    async def _send_heartbeat(self, session: aiohttp.ClientSession) -> None:
+        self._sequence += 1
         body = {
             "service": "s",
             "address": self._announced,
             "zone": self.zone,
             "slots": 8,
             "state": "ready",
-            "seq": self._number,
-            "born": self._born,
+            "seq": self._sequence,
+            "born": self._started_ms,
             "cold-left-ms": round(
                 1000 * max(0.0, self._cold_until - time.monotonic())
             ),
@@ -195,9 +205,12 @@
                 url = f"http://{control}{path}"
                 async with session.put(url, json=body) as answer:
                     if answer.status == 200:
-                        if body["cold-left-ms"] and self._cold_told is None:
+                        if (
+                            body["cold-left-ms"]
+                            and self._cold_known_at is None
+                        ):
                             now = time.monotonic()
-                            self._cold_told = now + TOLD_SECONDS
+                            self._cold_known_at = now + COLD_NOTICE_SECONDS
                         return
             except (aiohttp.ClientError, TimeoutError, OSError):
                 continue
@@ -208,33 +221,33 @@
         wanted = request.headers.get("X-Chivepier-Expect-Instance")
         if wanted != self.instance:
             return web.Response(status=421, headers=echo)
-        self._note_arrival()
-        self._note_need()
+        self._check_cold_limit()
+        self._check_rate_limit()
         if self.limit is not None:
             echo["Server-Limit"] = str(self.limit)
-        mood = self.mood
-        full = mood == "shed" or self.wishes.full
-        echo |= self._heed_wishes(request, full)
-        if full:
+        fault_mode = self.fault_mode
+        overloaded = fault_mode == "shed" or self.signals.overloaded
+        echo |= self._check_signals(request, overloaded)
+        if overloaded:
             echo["X-Chivepier-Not-Run"] = "1"
             return web.Response(status=503, headers=echo)
         await request.read()
         self.runs += 1
         if not request.path.startswith("/again/"):
-            self._promises.note_run(identity)
-        if mood == "silent":
+            self._checker.record_run(identity)
+        if fault_mode == "silent":
             await asyncio.sleep(60)
         if request.path.startswith("/stream/"):
             response = web.StreamResponse(headers=echo)
             with contextlib.suppress(ConnectionError):
-                await self._stream(request, response, mood)
+                await self._stream(request, response, fault_mode)
             return response
-        await asyncio.sleep(WORK_SECONDS)
-        if mood == "reset":
+        await asyncio.sleep(SERVICE_SECONDS)
+        if fault_mode == "reset":
             request.transport.abort()
-        return web.Response(body=make_body(identity), headers=echo)
+        return web.Response(body=make_expected_body(identity), headers=echo)
 
-    def _heed_wishes(
+    def _check_signals(
         self, request: web.BaseRequest, refused: bool
     ) -> dict[str, str]:
         """Check what was asked of the sender; return what is asked now."""
@@ -242,24 +255,24 @@
         entry = request.headers.get("X-Entry")
         if entry is not None:
             sent = float(request.headers["X-Sent"])
-            self.wishes.note_arrival(entry, sent, now)
-            self.wishes.note_answer(entry, refused, now)
-        return self.wishes.make_headers(refused)
+            self.signals.check_arrival(entry, sent, now)
+            self.signals.record_answer(entry, refused, now)
+        return self.signals.make_headers(refused)
 
-    async def _stream(self, request, response, mood) -> None:
+    async def _stream(self, request, response, fault_mode) -> None:
         await response.prepare(request)
-        for number in range(1, EVENTS + 1):
-            if mood == "reset" and number == EVENTS // 2:
+        for number in range(1, EVENT_COUNT + 1):
+            if fault_mode == "reset" and number == EVENT_COUNT // 2:
                 await response.write(b"id: 10\nda")
                 request.transport.abort()
                 return
-            text = "end" if number == EVENTS else "part"
+            text = "end" if number == EVENT_COUNT else "part"
             event = f"id: {number}\ndata: {text}\n\n"
             await response.write(event.encode())
-            await asyncio.sleep(WORK_SECONDS / 2)
+            await asyncio.sleep(SERVICE_SECONDS / 2)
         await response.write_eof()
 
 
 def describe(targets: list[SoakTarget]) -> str:
     """Return the targets' moods, for a failure's report."""
-    return json.dumps({t.address: t.mood for t in targets})
+    return json.dumps({t.address: t.fault_mode for t in targets})
--- a/soak/tests/test_need.py
+++ b/soak/tests/test_limits.py
@@ -6,13 +6,13 @@
 import pytest
 
 from soak.blocks import reserve_block
-from soak.need import count_busiest
-from soak.need import Need
-from soak.need import WINDOW_SECONDS
+from soak.trafficscenario import count_busiest
+from soak.trafficscenario import TrafficScenario
+from soak.trafficscenario import WINDOW_SECONDS
 
 LIMIT = 1.5
 # Seconds after a target first names its limit from which all must know.
-TOUCH_SECONDS = 3.0
+PROPAGATION_SECONDS = 3.0
 # Seconds for which the requests at targets are counted after that.
 COUNTED_SECONDS = 6.0
 # Seconds by which a send may come later than it was permitted: the time in
@@ -20,10 +20,12 @@
 LATENESS_SECONDS = 0.75
 # What a target that names the limit may get within a window: what it takes
 # in that time, sends that come late included, and the first one.
-MOST = int(LIMIT * (WINDOW_SECONDS + LATENESS_SECONDS)) + 1
+MAX_REQUESTS = int(LIMIT * (WINDOW_SECONDS + LATENESS_SECONDS)) + 1
 
 
-def play(folder, entries: int, in_need: int, ended: bool = False) -> Need:
+def run_scenario(
+    folder, entries: int, limited: int, recovered: bool = False
+) -> TrafficScenario:
     """Let targets name a limit amid traffic, and count what they get.
 
     :param folder: for settings, data and logs
@@ -32,58 +34,58 @@
     :param ended: whether they name none any more while requests are counted
     """
 
-    async def work(block: int) -> Need:
-        need = Need(folder, block, 1, entries)
-        async with asyncio.timeout(60), need.run():
+    async def work(block: int) -> TrafficScenario:
+        scenario = TrafficScenario(folder, block, 1, entries)
+        async with asyncio.timeout(60), scenario.run():
             await asyncio.sleep(1.0)
-            for target in need.targets[:in_need]:
+            for target in scenario.targets[:limited]:
                 target.limit = LIMIT
-            await asyncio.sleep(TOUCH_SECONDS)
-            if ended:
-                for target in need.targets:
+            await asyncio.sleep(PROPAGATION_SECONDS)
+            if recovered:
+                for target in scenario.targets:
                     target.limit = None
-                await asyncio.sleep(TOUCH_SECONDS)
-            need.counted_from = time.monotonic()
+                await asyncio.sleep(PROPAGATION_SECONDS)
+            scenario.counted_from = time.monotonic()
             await asyncio.sleep(COUNTED_SECONDS)
-        return need
+        return scenario
 
     with reserve_block() as block:
         return asyncio.run(work(block))
 
 
 @pytest.mark.parametrize("entries", (1, 3))
-def test_targets_in_need_get_no_more_than_they_take(entries, tmp_path):
+def test_rate_limit_holds_over_all_entries(entries, tmp_path):
     # Users saw targets in need get 15 and 16 requests within four seconds
     # that had named 1.5 a second. The targets named it in each answer; seven
     # entries passed that on to callers and read nothing of it, so that each
     # of them went on as before. Evidence: the same sends a second after the
     # last entry was told as before, second sends for one request in 72 only,
     # and no decision that differs by what a target names.
-    need = play(tmp_path, entries, in_need=2)
-    since = need.counted_from
-    for target in need.targets[:2]:
-        assert 0 < count_busiest(target.arrivals, since) <= MOST
-    late = [reply for reply in need.replies if reply.at >= since]
+    scenario = run_scenario(tmp_path, entries, limited=2)
+    since = scenario.counted_from
+    for target in scenario.targets[:2]:
+        assert 0 < count_busiest(target.arrivals, since) <= MAX_REQUESTS
+    late = [reply for reply in scenario.replies if reply.at >= since]
     assert {reply.status for reply in late} == {200}
 
 
-def test_callers_are_told_at_once_when_all_targets_are_in_need(tmp_path):
+def test_callers_are_rejected_when_all_targets_are_limited(tmp_path):
     # Nothing would be served, or all of it: requests wait in a queue that the
     # rate can't empty, or are sent to targets that do not take them.
-    need = play(tmp_path, 3, in_need=4)
-    since = need.counted_from
-    for target in need.targets:
-        assert 0 < count_busiest(target.arrivals, since) <= MOST
-    late = [reply for reply in need.replies if reply.at >= since]
+    scenario = run_scenario(tmp_path, 3, limited=4)
+    since = scenario.counted_from
+    for target in scenario.targets:
+        assert 0 < count_busiest(target.arrivals, since) <= MAX_REQUESTS
+    late = [reply for reply in scenario.replies if reply.at >= since]
     assert {reply.status for reply in late} == {200, 429}
-    assert all(r.back > 0 for r in late if r.status == 429)
+    assert all(r.retry_after > 0 for r in late if r.status == 429)
 
 
-def test_targets_are_used_as_before_once_they_are_well(tmp_path):
+def test_targets_without_limit_get_full_traffic_again(tmp_path):
     # With few requests sent, few answers tell that a target has recovered.
-    need = play(tmp_path, 3, in_need=4, ended=True)
-    since = need.counted_from
-    for target in need.targets:
-        assert count_busiest(target.arrivals, since) > 3 * MOST
-    late = [reply for reply in need.replies if reply.at >= since]
+    scenario = run_scenario(tmp_path, 3, limited=4, recovered=True)
+    since = scenario.counted_from
+    for target in scenario.targets:
+        assert count_busiest(target.arrivals, since) > 3 * MAX_REQUESTS
+    late = [reply for reply in scenario.replies if reply.at >= since]
     assert {reply.status for reply in late} == {200}
--- a/soak/tests/test_proxy.py
+++ b/soak/tests/test_proxy.py
@@ -27,7 +27,7 @@
         writer.close()
 
 
-def play(test) -> None:
+def run_scenario(test) -> None:
     """Run a test over a proxy before an echoing server."""
 
     async def work():
@@ -47,42 +47,42 @@
     return await asyncio.open_connection(host, int(port))
 
 
-async def ask(reader, writer, data: bytes) -> bytes:
+async def exchange(reader, writer, data: bytes) -> bytes:
     """Send something and return the echo."""
     writer.write(data)
     return await reader.readexactly(len(data))
 
 
-async def await_silence(proxy) -> None:
+async def wait_for_silence(proxy) -> None:
     """Return once the proxy has lost a part of some connection."""
-    while not proxy.silenced:
+    while not proxy.silenced_connections:
         await asyncio.sleep(0.01)
 
 
-@pytest.mark.parametrize("mood", ["", SLOW])
-def test_bytes_go_both_ways(mood):
+@pytest.mark.parametrize("fault_mode", ["", SLOW])
+def test_bytes_go_both_ways(fault_mode):
     async def test(proxy, echo):
-        proxy.mood = mood
+        proxy.fault_mode = fault_mode
         reader, writer = await connect(proxy)
-        assert await ask(reader, writer, b"abc") == b"abc"
+        assert await exchange(reader, writer, b"abc") == b"abc"
         writer.write_eof()
         assert await reader.read() == b""
         writer.close()
 
-    play(test)
+    run_scenario(test)
 
 
-def test_connection_that_lost_a_part_stays_silent_while_new_ones_work():
+def test_silenced_connection_stays_silent_while_new_ones_work():
     async def test(proxy, echo):
         reader, writer = await connect(proxy)
-        assert await ask(reader, writer, b"a") == b"a"
-        proxy.mood = LOST_ANSWERS
+        assert await exchange(reader, writer, b"a") == b"a"
+        proxy.fault_mode = LOST_ANSWERS
         writer.write(b"b")
-        await await_silence(proxy)
+        await wait_for_silence(proxy)
         fresh = await connect(proxy)
         answer = asyncio.create_task(reader.read(1))
-        proxy.mood = ""
-        assert await ask(*fresh, b"c") == b"c"
+        proxy.fault_mode = ""
+        assert await exchange(*fresh, b"c") == b"c"
         writer.write(b"d")
         await asyncio.sleep(0.05)
         assert not answer.done()
@@ -90,29 +90,29 @@
         writer.close()
         fresh[1].close()
 
-    play(test)
+    run_scenario(test)
 
 
-def test_what_is_sent_can_be_lost():
+def test_sent_bytes_can_be_dropped():
     async def test(proxy, echo):
         reader, writer = await connect(proxy)
-        assert await ask(reader, writer, b"a") == b"a"
-        proxy.mood = LOST_SENT
+        assert await exchange(reader, writer, b"a") == b"a"
+        proxy.fault_mode = LOST_SENT
         writer.write(b"b")
-        await await_silence(proxy)
+        await wait_for_silence(proxy)
         assert echo.got == b"a"
         writer.close()
 
-    play(test)
+    run_scenario(test)
 
 
 def test_reset_ends_open_connections():
     async def test(proxy, echo):
         reader, writer = await connect(proxy)
-        assert await ask(reader, writer, b"a") == b"a"
+        assert await exchange(reader, writer, b"a") == b"a"
         proxy.reset()
         with pytest.raises(ConnectionResetError):
             await reader.read(1)
         writer.close()
 
-    play(test)
+    run_scenario(test)
--- a/soak/tests/test_soak.py
+++ b/soak/tests/test_soak.py
@@ -10,8 +10,8 @@
 from soak.faults import NEED_SET
 from soak.faults import NEWEST_SET
 from soak.faults import RESTART_SET
-from soak.promises import make_body
-from soak.promises import Promises
+from soak.invariantchecker import InvariantChecker
+from soak.invariantchecker import make_expected_body
 from soak.run import Soak
 
 # Seeds, the set of faults that they draw from, and the seconds for which they
@@ -29,34 +29,34 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_promises_hold_under_faults(seed, tmp_path):
+def test_invariants_hold_under_faults(seed, tmp_path):
     # Any promise to callers that breaks while processes and targets fail.
     kinds, seconds = SEEDS[seed]
     with reserve_block() as block:
         soak = Soak(seed, tmp_path, block, kinds)
         seen = asyncio.run(soak.run(seconds))
-    assert seen.broken == []
+    assert seen.violations == []
     assert seen.answered > 50 and seen.acknowledged > 0
 
 
-def test_targets_that_start_again_are_used(tmp_path):
+def test_restarted_targets_are_used(tmp_path):
     # Targets that had started again got no work.
     with reserve_block() as block:
         soak = Soak(7, tmp_path, block)
         soak.faults.keep_only("restart_target")
         seen = asyncio.run(soak.run(4.0))
-    assert seen.broken == []
+    assert seen.violations == []
     assert any(target.restarted for target in soak.targets)
 
 
-def test_nonsense_of_another_writer_harms_nobody(tmp_path):
+def test_invalid_announcements_are_rejected(tmp_path):
     # Another writer announces what no target says, also in targets' names:
     # all of it is refused, and callers are served as before.
     with reserve_block() as block:
         soak = Soak(8, tmp_path, block)
         soak.faults.keep_only("write_nonsense")
         seen = asyncio.run(soak.run(4.0))
-    assert seen.broken == []
+    assert seen.violations == []
     assert seen.answered > 50
 
 
@@ -66,48 +66,48 @@
         soak = Soak(9, tmp_path, block)
         soak.faults.keep_only("evacuate", "turn_cold", "kill", "freeze")
         seen = asyncio.run(soak.run(12.0))
-    assert seen.broken == []
-    assert soak.zone_orders.given >= 2 and seen.answered > 50
+    assert seen.violations == []
+    assert soak.evacuations.acknowledged_orders >= 2 and seen.answered > 50
 
 
-def test_targets_in_need_are_spared(tmp_path):
+def test_rate_limits_hold_under_faults(tmp_path):
     # More than targets in need take, while processes fail; or no use of them
     # later.
     with reserve_block() as block:
         soak = Soak(10, tmp_path, block)
         soak.faults.keep_only("need", "kill", "freeze", "stop", "kill_all")
         seen = asyncio.run(soak.run(14.0))
-    assert seen.broken == []
+    assert seen.violations == []
     assert seen.answered > 20
 
 
-def test_wishes_of_targets_are_heeded(tmp_path):
+def test_backoffs_and_leaving_targets_are_respected(tmp_path):
     # Requests within the rest that an entry was asked for, or new ones to a
     # target that leaves, while processes fail.
     with reserve_block() as block:
         soak = Soak(14, tmp_path, block)
         soak.faults.keep_only("rest", "leave", "kill", "freeze", "harm_links")
         seen = asyncio.run(soak.run(14.0))
-    assert seen.broken == []
+    assert seen.violations == []
     assert seen.answered > 20
-    assert sum(target.wishes.refusals for target in soak.targets) > 0
-
-
-def test_each_broken_promise_is_seen():
-    seen = Promises()
-    seen.note_run("a")
-    seen.note_run("a")
-    seen.note_answer("a", 503, b"")
-    seen.note_answer("b", 503, b"")
-    seen.note_run("b")
-    seen.note_answer("c", 200, make_body("d"))
-    seen.note_answer("e", 404, b"")
-    seen.note_stream("f", b"id: 1\n\nid: 3\n\ndata: end\n\n", True)
-    seen.note_stream("g", b"id: 1\n\n", True)
-    seen.note_read(4, 5)
-    seen.note_run("h")
-    seen.note_cut("h", ConnectionResetError(), planned=False)
-    seen.note_cut("i", ConnectionResetError(), planned=True)
-    assert len(seen.broken) == 8
-    seen.note_cut("h", ConnectionResetError(), planned=True)
-    assert len(seen.broken) == 9
+    assert sum(target.signals.refusals for target in soak.targets) > 0
+
+
+def test_each_violation_is_reported():
+    seen = InvariantChecker()
+    seen.record_run("a")
+    seen.record_run("a")
+    seen.record_answer("a", 503, b"")
+    seen.record_answer("b", 503, b"")
+    seen.record_run("b")
+    seen.record_answer("c", 200, make_expected_body("d"))
+    seen.record_answer("e", 404, b"")
+    seen.record_stream("f", b"id: 1\n\nid: 3\n\ndata: end\n\n", True)
+    seen.record_stream("g", b"id: 1\n\n", True)
+    seen.check_read(4, 5)
+    seen.record_run("h")
+    seen.record_failure("h", ConnectionResetError(), planned=False)
+    seen.record_failure("i", ConnectionResetError(), planned=True)
+    assert len(seen.violations) == 8
+    seen.record_failure("h", ConnectionResetError(), planned=True)
+    assert len(seen.violations) == 9
--- a/soak/tests/test_start.py
+++ b/soak/tests/test_start.py
@@ -10,17 +10,15 @@
 
 
 @pytest.mark.parametrize("role", ("voter", "entry"))
-def test_settings_that_change_while_a_process_loads_do_not_end_it(
-    role, tmp_path
-):
+def test_sighup_while_a_process_loads_does_not_end_it(role, tmp_path):
     # It had no meaning for the signal yet, whose default is to end.
     with reserve_block() as block:
         ip = f"127.{block}.1.1"
         process = Process(role, ip, [f"{ip}:8748"], tmp_path)
         process.start(found=True)
         try:
-            while not process.loads:
+            while not process.is_loading:
                 time.sleep(0.001)
-            assert process.takes(signal.SIGHUP)
+            assert process.handles_signal(signal.SIGHUP)
         finally:
             process.end()
--- a/soak/need.py
+++ b/soak/trafficscenario.py
@@ -8,12 +8,12 @@
 import aiohttp
 
 from soak.cluster import Cluster
+from soak.invariantchecker import InvariantChecker
 from soak.process import Process
-from soak.promises import Promises
 from soak.reply import Reply
 from soak.run import make_config
+from soak.signalchecker import make_sender_headers
 from soak.target import SoakTarget
-from soak.wishes import name_sender
 
 TARGETS = 4
 CALLERS = 8
@@ -23,7 +23,7 @@
 PAUSE_SECONDS = 0.1
 
 
-class Need(Cluster):
+class TrafficScenario(Cluster):
     """Real entries and voters, callers, and targets that name limits.
 
     :param folder: for settings, data and logs
@@ -53,14 +53,14 @@
         )
 
     def _make_target(self, address: str, controls, rng) -> SoakTarget:
-        return SoakTarget(address, address, controls, Promises(), rng)
+        return SoakTarget(address, address, controls, InvariantChecker(), rng)
 
     @contextlib.asynccontextmanager
     async def run(self):
         """Run everything, with callers, until the context is left."""
         async with self.start(make_config(1)) as session:
             for entry in self.entries:
-                while (await self.ask(session, entry)).status != 200:
+                while (await self.send_request(session, entry)).status != 200:
                     await asyncio.sleep(0.1)
             tasks = [
                 asyncio.create_task(self._call(session))
@@ -76,10 +76,10 @@
     async def _call(self, session: aiohttp.ClientSession) -> None:
         while True:
             entry = self.rng.choice(self.entries)
-            self.replies.append(await self.ask(session, entry))
+            self.replies.append(await self.send_request(session, entry))
             await asyncio.sleep(self._pause)
 
-    async def ask(
+    async def send_request(
         self, session: aiohttp.ClientSession, entry: Process
     ) -> Reply:
         """Send one request that may run once."""
@@ -89,17 +89,17 @@
             "X-Chivepier-Request-Id": f"n{self._number}",
             "X-Api-Key": "k1",
             "X-Chivepier-Deadline-Ms": "2000",
-            **name_sender(entry.ip),
+            **make_sender_headers(entry.ip),
         }
         url = f"http://{entry.ip}:8740/once/{self._number}"
-        began, status, back = time.monotonic(), 0, None
+        began, status, retry_after = time.monotonic(), 0, None
         with contextlib.suppress(aiohttp.ClientError, TimeoutError, OSError):
             async with session.post(url, data=b"x", headers=headers) as answer:
                 await answer.read()
                 status = answer.status
-                back = answer.headers.get("Retry-After")
+                retry_after = answer.headers.get("Retry-After")
         now = time.monotonic()
-        seconds = None if back is None else float(back)
+        seconds = None if retry_after is None else float(retry_after)
         return Reply(now, status, now - began, seconds)
 
 
