--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: real processes, faults from outside, promises checked."""
+"""A randomized soak test: real processes, injected faults, invariants."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Plays seeds of the soak: ``python -m soak --seeds 3 --seconds 15``."""
+"""Runs seeds of the soak test: ``python -m soak --seeds 3 --seconds 15``."""
 
 import asyncio
 import pathlib
@@ -29,7 +29,7 @@
 def main(
     seed: int | None, seeds: int, seconds: float, block: int, kinds: int
 ) -> None:
-    """Play seeds; keep the logs of those that fail."""
+    """Run seeds, and keep the logs of those that fail."""
     failed = 0
     for _ in range(seeds):
         chosen = seed if seed is not None else random.randrange(1 << 32)
--- a/soak/blocks.py
+++ b/soak/blocks.py
@@ -1,4 +1,4 @@
-"""Loopback addresses that one scenario has to itself."""
+"""Blocks of loopback addresses, each reserved for one scenario."""
 
 import collections.abc
 import contextlib
@@ -10,13 +10,13 @@
 
 @contextlib.contextmanager
 def reserve_block() -> collections.abc.Iterator[int]:
-    """Take the addresses below 127.N until the context is left.
+    """Reserve the addresses below 127.N until the context is left.
 
-    Tests run in several processes at once; a port that is held says that a
-    block is taken.
+    Tests run in several processes at once; a bound port in each reserved
+    block serves as a lock between them.
 
-    :returns: N
-    :raises OSError: when all are taken
+    :returns: N, the second byte of the addresses
+    :raises OSError: when all blocks are reserved
     """
     for block in BLOCKS:
         with socket.socket() as lock:
@@ -27,4 +27,4 @@
             lock.listen()
             yield block
             return
-    raise OSError("every block of addresses is taken")
+    raise OSError("all blocks of loopback addresses are reserved")
--- a/soak/cluster.py
+++ b/soak/cluster.py
@@ -1,4 +1,4 @@
-"""Real entries and voters before targets that a scenario chooses."""
+"""Real entries and voters, with targets that a scenario provides."""
 
 import asyncio
 import collections.abc
@@ -21,14 +21,15 @@
 
 
 class Cluster:
-    """Three voters, some entries, and targets.
+    """Runs three voters, some entries, and targets.
 
-    :param folder: for settings, data and logs
-    :param block: second byte of its loopback addresses
-    :param seed: of everything that is drawn
-    :param entries: how many
-    :param targets: how many
-    :param make_target: makes one, by its address, the voters' and the draw
+    :param folder: directory for settings, data and logs
+    :param block: second byte of the loopback addresses
+    :param seed: seed of the random number generator
+    :param entries: number of entries
+    :param targets: number of targets
+    :param make_target: creates a target from its address, the addresses of
+        the voters and the random number generator
     """
 
     def __init__(
@@ -61,9 +62,9 @@
     async def start(
         self, config: dict
     ) -> collections.abc.AsyncIterator[aiohttp.ClientSession]:
-        """Run everything until the context is left.
+        """Run all processes and targets until the context is left.
 
-        :param config: that is put in force
+        :param config: the configuration to apply
         """
         async with contextlib.AsyncExitStack() as stack:
             session = await stack.enter_async_context(
@@ -88,7 +89,7 @@
 
 
 def make_resumable_config() -> dict:
-    """Make a configuration with a route of streams that may go on."""
+    """Return a configuration with a route for resumable streams."""
     config = make_config(1)
     stream = next(r for r in config["routes"] if r["name"] == "stream")
     config["routes"].append(
--- a/soak/crashscenario.py
+++ b/soak/crashscenario.py
@@ -1,4 +1,4 @@
-"""Targets that end as they begin to run one request, which comes again."""
+"""Targets that crash when they run a certain request, which is repeated."""
 
 import asyncio
 import contextlib
@@ -20,21 +20,21 @@
 
 CRASHING_BODY = b"what no target survives"
 CRASHING_PATH = "/resume/deadly"
-# Seconds from the third end on within which entries must know.
+# Seconds after the third crash within which all entries must know of it.
 PROPAGATION_SECONDS = 3.0
-# Seconds until a target that has ended is back.
+# Range of the seconds until a crashed target is restarted.
 RESTART_SECONDS = (0.8, 2.0)
 
 
 @attrs.define
 class CrashRecord:
-    """What callers and targets saw.
+    """Records crashes, arrivals and answers, in monotonic seconds.
 
-    :param ends: when targets ended
-    :param arrivals: when the request that ends them reached one
-    :param answers: statuses that its callers got
-    :param sound: statuses that all others got
-    :param disturbed: when a process was last back from a fault
+    :param crashes: times at which targets crashed
+    :param arrivals: times at which the crashing request reached a target
+    :param answers: statuses of the answers to the crashing request
+    :param other_answers: statuses of the answers to other requests
+    :param disturbed: time at which the last faulty process was running again
     """
 
     crashes: list[float] = attrs.field(factory=list)
@@ -45,14 +45,14 @@
 
     @property
     def propagated_at(self) -> float:
-        """When every entry must know; never, before the third end."""
+        """Time by which every entry must know; infinite before 3 crashes."""
         if len(self.crashes) < 3:
             return float("inf")
         return max(self.crashes[2], self.disturbed) + PROPAGATION_SECONDS
 
     @property
     def late_arrivals(self) -> list[float]:
-        """Sends to targets after that, in seconds."""
+        """Seconds from that time to each later arrival at a target."""
         propagated_at = self.propagated_at
         return [
             at - propagated_at for at in self.arrivals if at > propagated_at
@@ -60,7 +60,7 @@
 
 
 class CrashingTarget(SoakTarget):
-    """Ends when it begins to run the deadly request."""
+    """Crashes when it starts to run the crashing request."""
 
     record: CrashRecord
     _restart: asyncio.Task | None = None
@@ -88,18 +88,18 @@
 
     async def _restart_later(self) -> None:
         await asyncio.sleep(self._rng.uniform(*RESTART_SECONDS))
-        # each start has a name of its own, as most engines do
+        # Each start has its own instance name, as with most engines.
         self.instance = f"i-{secrets.token_hex(4)}"
         await self.__aenter__()
 
 
 class CrashScenario(Cluster):
-    """Real entries and voters, fragile targets, and both kinds of callers.
+    """Runs entries, voters, crashing targets and both kinds of callers.
 
-    :param folder: for settings, data and logs
-    :param block: second byte of its loopback addresses
-    :param seed: of everything that is drawn
-    :param entries: how many
+    :param folder: directory for settings, data and logs
+    :param block: second byte of the loopback addresses
+    :param seed: seed of the random number generator
+    :param entries: number of entries
     """
 
     def __init__(
@@ -118,7 +118,7 @@
 
     @contextlib.asynccontextmanager
     async def run(self):
-        """Run everything until the context is left."""
+        """Run the cluster until the context is left."""
         async with self.start(make_resumable_config()) as session:
             while (
                 await self.send_request(session, self.entries[0], "sound")
@@ -132,8 +132,8 @@
     ) -> int:
         """Send one request.
 
-        :param kind: ``deadly`` or ``sound``
-        :returns: the status; 0 where the connection broke or none was made
+        :param kind: ``deadly`` for the crashing request, else ``sound``
+        :returns: status of the answer; 0 if the connection failed
         """
         self._number += 1
         is_crashing = kind == "deadly"
@@ -159,9 +159,9 @@
     async def repeat_crashing_request(
         self, session: aiohttp.ClientSession, seconds: float
     ) -> None:
-        """Send the deadly request again and again, at several entries.
+        """Send the crashing request repeatedly to several entries.
 
-        :param seconds: for which this goes on once every entry must know
+        :param seconds: time to continue once every entry must know, in seconds
         """
         while time.monotonic() < self.record.propagated_at + seconds:
             count = min(2, len(self.entries))
@@ -173,10 +173,11 @@
             await asyncio.sleep(self.rng.uniform(0.1, 0.5))
 
     async def inject_faults(self) -> None:
-        """Once a target has ended, harm processes of both roles.
+        """Once a target has crashed, inject faults into both roles.
 
-        One entry stands still while the others learn, one is killed and knows
-        nothing when it is back, and one voter loses its disk.
+        One entry is paused while the others learn of the crashes, one is
+        killed and restarts without that knowledge, and one voter loses its
+        data.
         """
         while not self.record.crashes:
             await asyncio.sleep(0.01)
@@ -193,7 +194,7 @@
         self.record.disturbed = time.monotonic()
 
     async def call(self, session: aiohttp.ClientSession) -> None:
-        """Send sound requests, one after the other, until cancelled."""
+        """Send other requests, one after the other, until cancelled."""
         while True:
             await self.send_request(
                 session, self.rng.choice(self.entries), "sound"
--- a/soak/evacuationoperator.py
+++ b/soak/evacuationoperator.py
@@ -1,4 +1,4 @@
-"""Orders of the soak's operator about availability zones."""
+"""Evacuation of availability zones during the soak test."""
 
 import asyncio
 import random
@@ -7,19 +7,21 @@
 import aiohttp
 import attrs
 
-# Seconds after an acknowledgement from which nothing may reach the zone.
+# Seconds after an acknowledgement from which no request may reach the zone.
 IN_FORCE_SECONDS = 5.0
-# Seconds for one call, after which another voter is asked.
+# Timeout of one call in seconds; the next call goes to a random voter.
 CALL_SECONDS = 1.5
 
 
 @attrs.define
 class EvacuationOperator:
-    """Evacuates one zone at a time and takes it back.
+    """Evacuates availability zones and ends the evacuations.
 
-    :param controls: addresses of the voters
-    :param rng: draws voters
-    :param evacuated: when each evacuated zone's order was acknowledged
+    :param controls: control addresses of the voters
+    :param rng: random number generator that draws voters
+    :param evacuated: for each evacuated zone, the time at which the order was
+        acknowledged, in monotonic seconds
+    :param acknowledged_orders: number of acknowledged orders
     """
 
     controls: list[str]
@@ -28,23 +30,23 @@
     acknowledged_orders: int = 0
 
     def is_evacuated(self, zone: str) -> bool:
-        """Tell whether nothing may reach a zone's targets any more."""
+        """Tell whether no request may reach the targets of a zone."""
         at = self.evacuated.get(zone)
         return at is not None and time.monotonic() - at > IN_FORCE_SECONDS
 
     async def evacuate_for(self, session, zone: str, seconds: float) -> None:
         """Evacuate a zone for some seconds.
 
-        :param session: to speak to voters
-        :param zone: the zone
-        :param seconds: from the acknowledgement until it is taken back
+        :param session: HTTP session for calls to voters
+        :param zone: name of the zone
+        :param seconds: time from the acknowledgement to the end, in seconds
         """
         await self._send(session, "POST", zone)
         self.evacuated[zone] = time.monotonic()
         try:
             await asyncio.sleep(seconds)
         finally:
-            # from now on requests may reach it again
+            # The order to end the evacuation may take effect from now on.
             del self.evacuated[zone]
         await self._send(session, "DELETE", zone)
 
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults that the soak injects from outside its processes."""
+"""Faults that the soak test injects into processes, targets and links."""
 
 import asyncio
 import collections.abc
@@ -16,23 +16,23 @@
     from soak.run import Soak
     from soak.target import SoakTarget
 
-# Seconds without a fault before a planned stop that must cut nothing off: what
-# an earlier fault held up has reached its route's timeout by then.
+# Seconds without a fault before a planned stop that must not abort requests:
+# requests delayed by an earlier fault reach their route's timeout by then.
 SETTLE_SECONDS = 3.5
-# Sets of faults: a seed that has shown a fault keeps the set that it drew
-# from, or it would draw others and show nothing any more.
+# Versions of the set of faults: a seed that reproduces a failure keeps its
+# set, since with another one it would draw other faults.
 FIRST_SET, RESTART_SET, COLD_SET, NEED_SET, NEWEST_SET = 1, 2, 3, 4, 5
-# Seconds after connections were harmed in which what was held up still comes.
+# Seconds after a link fault in which delayed requests may still arrive.
 DELAYED_SECONDS = 1.5
-# Seconds of rest that targets ask for.
+# Backoffs that targets request, in seconds.
 BACKOFF_SECONDS = (0.3, 1.0, 3.0, 8.0)
 
 
 class Faults:
-    """Draws faults and injects them, one after the other.
+    """Draws faults at random and injects them, one after the other.
 
-    :param soak: whose processes, targets and proxies are harmed
-    :param chosen: the set that is drawn from
+    :param soak: the run whose processes, targets and proxies get the faults
+    :param fault_set: version of the set of faults to draw from
     """
 
     def __init__(self, soak: "Soak", fault_set: int):
@@ -64,15 +64,15 @@
         self._background: set[asyncio.Task] = set()
 
     def keep_only(self, *names: str) -> None:
-        """Inject these faults alone: each once, and then drawn ones.
+        """Restrict the faults: inject each once, then draw among them.
 
-        :param names: of this class's methods
+        :param names: names of methods of this class
         """
         self._kinds = tuple(getattr(self, name) for name in names)
         self._required = list(self._kinds)
 
     async def inject(self, seconds: float) -> None:
-        """Inject faults, in series."""
+        """Inject faults one after the other for some seconds."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             self._restart_ended()
@@ -82,28 +82,28 @@
             await asyncio.sleep(self._rng.uniform(0.0, 1.0))
 
     def _restart_ended(self) -> None:
-        """Start what has ended by itself: no fault leaves a process down."""
+        """Restart processes that ended without a fault, as a violation."""
         for process in (*self._soak.voters, *self._soak.entries):
             if not process.alive:
-                text = f"{process.name} has ended by itself"
+                text = f"{process.name} ended unexpectedly"
                 self._soak.checker.violations.append(text)
                 process.start()
 
     def _draw(self) -> collections.abc.Callable:
-        # callers draw from the same numbers, in an order that differs: a kind
-        # that a test is about might not come at all
+        # Callers draw from the same generator in an order that varies between
+        # runs, so a required fault might otherwise never be drawn.
         if self._required:
             return self._required.pop(0)
         return self._rng.choice(self._kinds)
 
     async def finish(self) -> None:
-        """Let what goes on beside other faults come to its end."""
+        """Wait for the faults that run in the background."""
         if self._evacuation is not None:
             await self._evacuation
         await asyncio.gather(*self._background)
 
     async def evacuate(self) -> None:
-        """Evacuate a zone while other faults go on; one at a time."""
+        """Evacuate a zone in the background; one zone at a time."""
         if self._evacuation is not None and not self._evacuation.done():
             return
         target = self._rng.choice(self._soak.targets)
@@ -113,25 +113,25 @@
         self._evacuation = asyncio.create_task(work)
 
     async def turn_cold(self) -> None:
-        """Let a target become cold at once, and say so with its next word."""
+        """Make a target cold; its next heartbeat announces it."""
         target = self._rng.choice(self._soak.targets)
         target.turn_cold(self._rng.uniform(2.0, 4.0))
 
     async def need(self) -> None:
-        """Let targets name limits for a while, beside other faults."""
+        """Let targets announce rate limits for a while, in the background."""
         count = self._rng.randint(1, len(self._soak.targets))
         for target in self._rng.sample(self._soak.targets, count):
             if target.limit is None:
                 self._begin(self._name_limits(target))
 
     def _begin(self, work: collections.abc.Coroutine) -> None:
-        """Let something go on beside other faults."""
+        """Run a fault in the background."""
         task = asyncio.create_task(work)
         self._background.add(task)
         task.add_done_callback(self._background.discard)
 
     async def rest(self) -> None:
-        """Let targets turn requests away and ask for rest for a while."""
+        """Let targets reject requests and request backoff for a while."""
         count = self._rng.randint(1, len(self._soak.targets))
         for target in self._rng.sample(self._soak.targets, count):
             if not target.signals.overloaded:
@@ -144,8 +144,9 @@
         target.signals.overloaded = False
 
     async def leave(self) -> None:
-        """Let a target say in its answers alone that it leaves, and end."""
-        # one stays: where no target at all is heard, all remain in use
+        """Let a target announce only in answers that it leaves, then end."""
+        # The first target stays: without any live target, entries keep using
+        # all of them.
         target = self._rng.choice(self._soak.targets[1:])
         if not target.signals.is_leaving:
             target.signals.is_leaving = True
@@ -163,7 +164,7 @@
         target.announce_limit(None)
 
     async def kill(self) -> None:
-        """Kill a process; it comes back soon."""
+        """Kill a process and restart it within a second."""
         process = self._rng.choice((*self._soak.voters, *self._soak.entries))
         with self._soak.exempt(process):
             process.end()
@@ -171,7 +172,7 @@
             process.start()
 
     async def freeze(self) -> None:
-        """Let a process stand still."""
+        """Pause a process with SIGSTOP."""
         process = self._rng.choice((*self._soak.voters, *self._soak.entries))
         with self._soak.exempt(process):
             process.signal(signal.SIGSTOP)
@@ -179,7 +180,7 @@
             process.signal(signal.SIGCONT)
 
     async def stop(self) -> None:
-        """Ask a process to end; its connections stay until it is gone."""
+        """Stop a process with SIGTERM, and restart it after its end."""
         process = self._rng.choice((*self._soak.voters, *self._soak.entries))
         process.signal(signal.SIGTERM)
         while process.alive:
@@ -188,28 +189,28 @@
             process.start()
 
     async def stop_entry(self) -> None:
-        """Stop an entry while nothing else goes wrong; it cuts nothing."""
+        """Stop an entry without other faults; it must abort no request."""
         await asyncio.sleep(SETTLE_SECONDS)
         entry = self._rng.choice(self._soak.entries)
         self._soak.stopping_entry = entry
         entry.signal(signal.SIGTERM)
         while entry.alive:
             await asyncio.sleep(0.05)
-        # what it was asked just before its end comes to the callers' notice
+        # Let callers notice the end of requests sent just before the stop.
         await asyncio.sleep(0.2)
         self._soak.stopping_entry = None
         with self._soak.exempt(entry):
             entry.start()
 
     async def hang_up(self) -> None:
-        """Tell a process that its settings have changed."""
+        """Make a process reload its settings with SIGHUP."""
         process = self._rng.choice((*self._soak.voters, *self._soak.entries))
         while process.alive and not process.handles_signal(signal.SIGHUP):
             await asyncio.sleep(0.01)
         process.signal(signal.SIGHUP)
 
     async def spoil(self) -> None:
-        """Let a target misbehave for a moment."""
+        """Let a target reset, ignore or reject requests for a moment."""
         target = self._rng.choice(self._soak.targets)
         target.fault_mode = self._rng.choice(("reset", "silent", "shed"))
         await asyncio.sleep(self._rng.uniform(0.1, 1.5))
@@ -231,7 +232,7 @@
             proxy.fault_mode = ""
 
     async def kill_all(self) -> None:
-        """Kill all processes at once; their disks stay."""
+        """Kill all processes at once, and restart them with their data."""
         processes = (*self._soak.voters, *self._soak.entries)
         with self._soak.exempt(*processes):
             for process in processes:
@@ -241,25 +242,26 @@
                 process.start()
 
     async def wipe(self) -> None:
-        """Lose one disk, and wait until the loss is made good."""
+        """Delete the data of one voter, and wait until it is restored."""
         voter = self._rng.choice(self._soak.voters)
         voter.end()
         shutil.rmtree(
             self._soak.folder / f"data-{voter.name}", ignore_errors=True
         )
         voter.start()
-        # one disk may be lost at a time; the next one only after this one
-        # has its vote and its data again
+        # Only one voter may be without its data at a time: wait until this
+        # one has its data and its vote again.
         await asyncio.sleep(6.0)
 
     async def restart_target(self) -> None:
-        """Let a target start again under its name, and lose what it ran."""
-        # one stays: where no target at all is heard, all remain in use
+        """Restart a target under its name; its running requests are lost."""
+        # The first target stays: without any live target, entries keep using
+        # all of them.
         target = self._rng.choice(self._soak.targets[1:])
         await target.restart(self._rng.uniform(0.0, 1.0))
         if self._cold:
             target.turn_cold(2.0)
 
     async def write_nonsense(self) -> None:
-        """Announce what no target says, also under the names of targets."""
+        """Send invalid announcements, also under the names of targets."""
         await write_nonsense(self._soak, self._rng)
--- a/soak/invariantchecker.py
+++ b/soak/invariantchecker.py
@@ -1,4 +1,4 @@
-"""What must hold, checked while the soak runs."""
+"""Invariants of the system, checked during the soak test."""
 
 import attrs
 
@@ -7,7 +7,7 @@
 
 @attrs.define
 class InvariantChecker:
-    """Keeps what callers and targets see, and what contradicts a promise."""
+    """Records requests at callers and targets, and finds violations."""
 
     runs: dict[str, int] = attrs.field(factory=dict)
     refused: set[str] = attrs.field(factory=set)
@@ -17,7 +17,7 @@
     acknowledged: int = 0
 
     def record_run(self, identity: str) -> None:
-        """Note that a target runs a request that may run once."""
+        """Record that a target runs a request that must run once at most."""
         self.runs[identity] = self.runs.get(identity, 0) + 1
         if self.runs[identity] > 1:
             self.violations.append(f"{identity} ran twice")
@@ -25,7 +25,7 @@
             self.violations.append(f"{identity} ran after it was refused")
 
     def record_answer(self, identity: str, status: int, body: bytes) -> None:
-        """Note what a caller got as whole."""
+        """Record and check a complete answer to a caller."""
         if status in NOT_EXECUTED_STATUSES:
             self.failed += 1
             self.refused.add(identity)
@@ -41,45 +41,46 @@
                 self.violations.append(f"{identity} got {status}")
 
     def record_stream(self, identity: str, data: bytes, whole: bool) -> None:
-        """Note what a caller got of a stream."""
+        """Record and check the received part of a stream."""
         lines = data.decode(errors="replace").split("\n")
         numbers = [int(x[4:]) for x in lines if x.startswith("id: ")]
         if numbers != list(range(1, len(numbers) + 1)):
             self.violations.append(f"{identity} got events {numbers}")
         if whole and "data: end" not in lines:
-            self.violations.append(f"{identity} ended early as whole")
+            self.violations.append(f"{identity} ended early without an error")
         if whole:
             self.answered += 1
 
     def record_failure(
         self, identity: str, error: Exception, planned: bool
     ) -> None:
-        """Note a request that ended without a whole answer.
+        """Record a request that ended without a complete answer.
 
-        One that crossed the close of its connection ran nowhere; one that a
-        target ran was read by the entry, which had time to answer it.
+        A request that an entry never read as its connection closed ran on no
+        target. One that a target ran had been read by the entry, which had
+        time to answer it before a planned stop.
 
-        :param identity: the request's
-        :param error: what its caller saw
-        :param planned: whether its entry was being stopped, with nothing
-            else wrong
+        :param identity: the request's id
+        :param error: the error that the caller got
+        :param planned: whether its entry was being stopped without any other
+            fault
         """
         self.failed += 1
         if planned and identity in self.runs:
             self.violations.append(
-                f"{identity} cut by a planned stop: {error!r}"
+                f"{identity} aborted by a planned stop: {error!r}"
             )
 
     def check_read(self, version: int, floor: int) -> None:
-        """Note a configuration that was read back.
+        """Check the version of a configuration that was read back.
 
-        :param version: that was answered
-        :param floor: highest one acknowledged long enough before
+        :param version: the version in the answer
+        :param floor: highest version that was acknowledged long enough before
         """
         if version < floor:
             self.violations.append(f"read version {version} after {floor}")
 
 
 def make_expected_body(identity: str) -> bytes:
-    """Return the one right answer to a request."""
+    """Return the expected answer to a request."""
     return f"answer to {identity}".encode()
--- a/soak/nonsense.py
+++ b/soak/nonsense.py
@@ -1,4 +1,4 @@
-"""Announcements of other writers than targets."""
+"""Invalid announcements, as from writers that are no targets."""
 
 import asyncio
 import json
@@ -36,10 +36,10 @@
 
 
 async def write_nonsense(soak: "Soak", rng: random.Random) -> None:
-    """Write some to voters; each that is taken breaks a promise.
+    """Send invalid announcements; each accepted one is a violation.
 
-    :param soak: whose voters are written to
-    :param rng: draws what is written
+    :param soak: the run whose voters get the announcements
+    :param rng: random number generator that draws the announcements
     """
     limit = aiohttp.ClientTimeout(total=1.0)
     async with aiohttp.ClientSession(timeout=limit) as session:
--- a/soak/process.py
+++ b/soak/process.py
@@ -1,4 +1,4 @@
-"""One real process of the system."""
+"""An entry or voter as a real process."""
 
 import collections.abc
 import contextlib
@@ -12,7 +12,7 @@
 
 ROOT = pathlib.Path(__file__).parents[1]
 PROGRAM = ROOT / "platform" / "chivepierd.py"
-# Seconds for one call of a caller or operator: beyond every deadline here.
+# Timeout of a client request in seconds, above every deadline in use.
 SESSION_SECONDS = 6.0
 SETTINGS = """node-name={name}
 ip={ip}
@@ -45,9 +45,9 @@
 async def run_all(
     processes: collections.abc.Sequence["Process"],
 ) -> collections.abc.AsyncIterator[aiohttp.ClientSession]:
-    """Run processes that found a cluster, with a session to speak to them.
+    """Run processes that bootstrap a cluster, and yield an HTTP session.
 
-    :param processes: of both roles; all are ended with the context
+    :param processes: entries and voters; all are killed with the context
     """
     timeout = aiohttp.ClientTimeout(total=SESSION_SECONDS)
     with contextlib.ExitStack() as stack:
@@ -59,12 +59,12 @@
 
 
 class Process:
-    """Starts, signals and restarts one program; ends only what it started.
+    """Starts, signals and kills one process of the program.
 
     :param role: ``entry`` or ``voter``
-    :param ip: a loopback address of its own, as if it were an instance
-    :param seeds: operator addresses of the voters
-    :param folder: for settings, data and logs
+    :param ip: its own loopback address, which stands for an instance
+    :param seeds: control addresses of the voters
+    :param folder: directory for settings, data and logs
     """
 
     def __init__(
@@ -78,16 +78,16 @@
 
     @property
     def name(self) -> str:
-        """Role and address."""
+        """Role and address, also used in file names."""
         return f"{self.role}-{self.ip}"
 
     @property
     def alive(self) -> bool:
-        """Whether the process runs, or is stopped by a signal."""
+        """Whether the process exists, running or paused."""
         return self._child is not None and self._child.poll() is None
 
     def start(self, found: bool = False) -> None:
-        """Start it, unless it runs."""
+        """Start the process, unless it runs."""
         if self.alive:
             return
         path = self._folder / f"{self.name}.conf"
@@ -109,12 +109,12 @@
             )
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal, if it runs."""
+        """Send a signal, if the process runs."""
         if self.alive:
             self._child.send_signal(number)
 
     def handles_signal(self, number: int) -> bool:
-        """Tell whether it runs its program, and a signal does not end it."""
+        """Tell whether the process ignores or handles a signal."""
         if not self.alive:
             return False
         mask = 0
@@ -127,12 +127,12 @@
 
     @property
     def is_loading(self) -> bool:
-        """Whether it has begun to load its libraries."""
+        """Whether the process has started to load its libraries."""
         maps = pathlib.Path(f"/proc/{self._child.pid}/maps")
         return self.alive and "site-packages" in maps.read_text()
 
     def end(self) -> None:
-        """Kill it, whatever state it is in, and reap it."""
+        """Kill and reap the process, also when it is paused."""
         if self._child is not None:
             self._child.kill()
             self._child.wait()
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that harms the connections through it."""
+"""A loopback proxy that injects faults into its connections."""
 
 import asyncio
 import random
@@ -6,8 +6,8 @@
 import struct
 
 CHUNK_BYTES = 1 << 16
-# Seconds that a slow link holds each part back: from a few round trips
-# between availability zones to more than the objective of a call.
+# Range of the seconds that a slow link delays each chunk: from a few round
+# trips between availability zones to more than a call's latency objective.
 DELAY_SECONDS = (0.02, 0.4)
 LOST_SENT = "lost_sent"
 LOST_ANSWERS = "lost_answers"
@@ -15,17 +15,17 @@
 
 
 class Proxy:
-    """Passes bytes on between its own address and one behind it.
+    """Forwards bytes between its own address and an upstream address.
 
-    ``mood`` is what it does to all connections: nothing, ``slow`` delays each
-    part, ``lost_sent`` and ``lost_answers`` lose what goes one way. A
-    connection that has lost a part stays silent that way for good, without a
-    reset, while new ones work: only a timeout shows it. ``silenced`` counts
-    these.
+    ``fault_mode`` holds for all connections: empty for none, ``slow`` delays
+    each chunk, ``lost_sent`` and ``lost_answers`` drop the bytes of one
+    direction. A connection that has dropped a chunk drops that direction for
+    good, without a reset, while new ones work: only a timeout detects it.
+    ``silenced_connections`` counts these.
 
-    :param address: that others are told
-    :param behind: what it passes to
-    :param rng: draws delays
+    :param address: address to listen on, ``ip:port``
+    :param upstream: address to forward to, ``ip:port``
+    :param rng: random number generator that draws the delays
     """
 
     def __init__(self, address: str, upstream: str, rng: random.Random):
@@ -57,7 +57,7 @@
     def reset(self) -> None:
         """Reset all open connections, on both sides."""
         for writer in list(self._writers):
-            # closed with nothing lingering, the peer gets a reset
+            # With a linger time of zero, closing sends a reset to the peer.
             writer.get_extra_info("socket").setsockopt(
                 socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
             )
@@ -85,7 +85,7 @@
                     self._pump(other_reader, writer, LOST_ANSWERS)
                 )
         except* OSError:
-            # reset by either side: so is the other one
+            # One side was reset; the other one is reset below.
             pass
         finally:
             self._writers -= {writer, other}
--- a/soak/reply.py
+++ b/soak/reply.py
@@ -1,16 +1,16 @@
-"""What one caller got."""
+"""The outcome of one request, as its caller saw it."""
 
 import attrs
 
 
 @attrs.frozen
 class Reply:
-    """What one caller got.
+    """Holds the outcome of one request, as its caller saw it.
 
-    :param at: when, in monotonic seconds
-    :param status: 0 where the connection broke or none was made
-    :param seconds: from its request to its answer
-    :param back: seconds until it may come back, where it was told
+    :param at: time of the answer, in monotonic seconds
+    :param status: status of the answer; 0 if the connection failed
+    :param seconds: seconds from the request to the answer
+    :param retry_after: value of ``Retry-After`` in seconds, if there is one
     """
 
     at: float
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""One seed of the soak."""
+"""One seeded run of the soak test."""
 
 import asyncio
 import collections.abc
@@ -23,19 +23,22 @@
 from soak.target import SoakTarget
 
 VOTERS, ENTRIES, TARGETS = 3, 3, 3
-# Seconds after an acknowledgement from which no read may be older.
+# Seconds after an acknowledgement from which reads must not be older.
 APPLY_SECONDS = 2.0
 # Seconds after the last fault within which callers must be served again.
 RECOVERY_SECONDS = 20.0
 CALLERS = 6
-# Seconds after which a target that is not heard is no longer used.
+# Seconds without a heartbeat after which a target is no longer used.
 TARGET_TTL_SECONDS = 5.0
-# Requests a second that a cold target bears, far below what it gets warm.
+# Requests per second that a cold target takes, far below its usual load.
 COLD_RATE = 5.0
 
 
 def make_config(version: int) -> dict:
-    """Make a configuration whose route to streams comes and goes."""
+    """Return a configuration with a route of each kind.
+
+    :param version: version of the configuration
+    """
     kinds = {"once": "non_idempotent", "again": "idempotent"}
     kinds["stream"] = "streaming"
     routes = [
@@ -62,12 +65,12 @@
 
 
 class Soak:
-    """Processes, targets, callers and faults of one seed.
+    """Runs processes, targets and callers under faults for one seed.
 
-    :param seed: of everything that is drawn
-    :param folder: for settings, data and logs
-    :param block: second byte of its loopback addresses
-    :param kinds: the set of faults that are drawn
+    :param seed: seed of the random number generator
+    :param folder: directory for settings, data and logs
+    :param block: second byte of the loopback addresses
+    :param kinds: version of the set of faults to draw from
     """
 
     def __init__(
@@ -121,10 +124,10 @@
     def exempt(
         self, *processes: Process, extra_seconds: float = 0.0
     ) -> collections.abc.Iterator[None]:
-        """Excuse processes from what targets ask them, while they are harmed.
+        """Exempt processes from the checks of targets during a fault.
 
-        :param processes: that don't hear all that they are told
-        :param longer: seconds after the harm in which that may still be so
+        :param processes: processes that may miss what targets announce
+        :param extra_seconds: seconds after the fault in which they stay exempt
         """
         for process in processes:
             self._exempt_until[process.ip] = float("inf")
@@ -137,14 +140,14 @@
                 )
 
     def is_excused(self, entry: str, since: float) -> bool:
-        """Tell whether an entry was harmed after a moment."""
+        """Tell whether an entry had a fault after a time."""
         return self._exempt_until.get(entry, since) > since
 
     async def run(self, seconds: float) -> InvariantChecker:
-        """Play the seed.
+        """Run the test.
 
-        :param seconds: for which faults are injected
-        :returns: what was seen
+        :param seconds: time for which faults are injected, in seconds
+        :returns: the checker with the violations found
         """
         async with contextlib.AsyncExitStack() as stack:
             session = await stack.enter_async_context(
@@ -171,11 +174,13 @@
                 ends = await asyncio.gather(*tasks, return_exceptions=True)
             for end in ends:
                 if not isinstance(end, asyncio.CancelledError):
-                    self.checker.violations.append(f"the soak failed: {end!r}")
+                    self.checker.violations.append(
+                        f"soak task failed: {end!r}"
+                    )
         return self.checker
 
     async def call(self, session, caller: int) -> None:
-        """Send one request after the other."""
+        """Send requests, one after the other, until cancelled."""
         while True:
             self.number += 1
             identity = f"r{caller}-{self.number}"
@@ -190,7 +195,7 @@
             await asyncio.sleep(0.02)
 
     async def send_request(self, session, entry, kind, identity) -> None:
-        """Send one request and note its answer."""
+        """Send one request and record its answer."""
         headers = {
             "Host": "h.example",
             "X-Chivepier-Request-Id": identity,
@@ -216,13 +221,13 @@
             self.checker.record_stream(identity, data, whole)
 
     async def update_config_repeatedly(self, session) -> None:
-        """Send a new configuration now and then."""
+        """Store new configurations at random intervals until cancelled."""
         while True:
             await asyncio.sleep(self.rng.uniform(0.3, 2.0))
             await self.update_config(session, 10.0)
 
     async def update_config(self, session, seconds: float) -> None:
-        """Send a configuration until it is acknowledged."""
+        """Send a new configuration until a voter acknowledges it."""
         self.version += self.rng.randint(1, 5)
         body = json.dumps(make_config(self.version))
         end = time.monotonic() + seconds
@@ -248,13 +253,13 @@
             await asyncio.sleep(0.1)
 
     async def read(self, session) -> None:
-        """Read the configuration back, at any voter."""
+        """Read the configuration back from random voters until cancelled."""
         while True:
             await self.check_config(session)
             await asyncio.sleep(0.2)
 
     async def check_config(self, session) -> int | None:
-        """Read it at one voter and check it against what was promised."""
+        """Read the configuration from one voter and check its version."""
         sent = time.monotonic()
         floor = max(
             (v for t, v in self.acknowledged if t < sent - APPLY_SECONDS),
@@ -274,14 +279,14 @@
         return version
 
     async def recover(self) -> None:
-        """Undo every fault, and wait until callers are served again."""
+        """End every fault, and wait until callers are served again."""
         for process in (*self.voters, *self.entries):
             process.signal(signal.SIGCONT)
             process.start()
         for part in (*self.targets, *self.proxies):
             part.fault_mode = ""
         if any(target.restarted for target in self.targets):
-            # until then one whose word is not taken is still in use
+            # Until then a target whose heartbeats are rejected is still used.
             await asyncio.sleep(TARGET_TTL_SECONDS)
             for target in self.targets:
                 target.runs = 0
@@ -296,11 +301,11 @@
             await asyncio.sleep(0.1)
 
     def find_idle(self) -> list[str]:
-        """Return the targets that started again and run nothing now."""
+        """Return the restarted targets that have run no request since."""
         return [t.address for t in self.targets if t.restarted and not t.runs]
 
     async def check_final_config(self, session) -> None:
-        """Read back the newest acknowledged configuration."""
+        """Wait until the newest acknowledged configuration can be read."""
         await asyncio.sleep(APPLY_SECONDS)
         end = time.monotonic() + RECOVERY_SECONDS
         while await self.check_config(session) is None:
--- a/soak/signalchecker.py
+++ b/soak/signalchecker.py
@@ -1,37 +1,39 @@
-"""What a target asked of each entry in its answers, and whether it got it."""
+"""Checks that entries respect the signals in a target's answers."""
 
 import collections.abc
 import time
 
 import attrs
 
-# Seconds after an answer in which what was under way may still arrive.
+# Seconds after an answer in which requests in flight may still arrive.
 IN_FLIGHT_SECONDS = 0.5
 
 IsExcused = collections.abc.Callable[[str, float], bool]
 
 
 def excuse_none(entry: str, since: float) -> bool:
-    """Excuse no entry: none of them is harmed."""
+    """Exempt no entry: none of them has a fault."""
     return False
 
 
 def make_sender_headers(entry: str) -> dict[str, str]:
-    """Return the headers by which targets know whom a request comes from.
+    """Return headers that tell targets which entry got a request, and when.
 
-    :param entry: that it is sent to now
+    :param entry: address of the entry that the request is sent to
     """
     return {"X-Entry": entry, "X-Sent": str(time.monotonic())}
 
 
 @attrs.define
 class SignalChecker:
-    """Checks what entries send a target that asked them for something.
-
-    :param full: whether it turns away what it gets
-    :param rest: seconds that it asks for beside a refusal
-    :param leaves: whether it says in all its answers that it leaves
-    :param excuses: tells whether an entry was harmed since a moment
+    """Sends backoff and leaving signals, and checks what entries send.
+
+    :param overloaded: whether the target rejects requests
+    :param rest: backoff that a rejection requests, in seconds
+    :param is_leaving: whether all answers say that the target is leaving
+    :param is_excused: tells whether an entry had a fault since a time
+    :param violations: descriptions of the signals that entries ignored
+    :param refusals: number of rejected requests
     """
 
     overloaded: bool = False
@@ -46,9 +48,9 @@
     def check_arrival(self, entry: str, sent: float, now: float) -> None:
         """Check a request that arrives.
 
-        :param entry: that it comes from
-        :param sent: when its caller sent it, in monotonic seconds
-        :param now: monotonic seconds
+        :param entry: address of the entry that sent it
+        :param sent: time at which its caller sent it, in monotonic seconds
+        :param now: current time, in monotonic seconds
         """
         for since, until in self._backoffs.get(entry, ()):
             late = since + IN_FLIGHT_SECONDS <= now < until
@@ -64,7 +66,7 @@
                 )
 
     def record_answer(self, entry: str, refused: bool, now: float) -> None:
-        """Note what an answer asks of the entry that gets it."""
+        """Record the signals in an answer to an entry."""
         if refused:
             self.refusals += 1
         if refused and self.rest is not None:
@@ -74,7 +76,7 @@
             self._leaving_since.setdefault(entry, now)
 
     def make_headers(self, refused: bool) -> dict[str, str]:
-        """Return what its answers say."""
+        """Return the headers that carry the signals."""
         headers = {}
         if refused and self.rest is not None:
             headers["Retry-After"] = f"{self.rest:g}"
@@ -83,7 +85,7 @@
         return headers
 
     def reset(self) -> None:
-        """Start again: the next life has asked nobody for anything."""
+        """Forget all signals, as the target restarts."""
         self.overloaded, self.rest, self.is_leaving = False, None, False
         self._backoffs.clear()
         self._leaving_since.clear()
--- a/soak/target.py
+++ b/soak/target.py
@@ -1,4 +1,4 @@
-"""A target that announces itself and misbehaves when told."""
+"""A target that announces itself and can inject faults."""
 
 import asyncio
 import collections.abc
@@ -19,36 +19,36 @@
 SERVICE_SECONDS = 0.02
 EVENT_COUNT = 20
 INITIAL_SEQUENCE = 10_000
-# What a cold target bears within one second, from all entries together.
+# Requests that a cold target takes within one second, over all entries.
 MAX_COLD_REQUESTS = 12
-# Seconds after it said that it is cold from which it must be spared: entries
-# are told at once, and what was being sent then has arrived.
+# Seconds after a target announced that it is cold from which its limit holds:
+# entries are notified at once, and requests in flight have arrived.
 COLD_NOTICE_SECONDS = 1.0
-# Seconds after a limit was first named from which it binds all entries, those
-# included that were harmed when it was named.
+# Seconds after the first announcement of a rate limit from which it holds for
+# all entries, including those that had a fault at the announcement.
 PROPAGATION_SECONDS = 3.0
-# Seconds in which requests are counted, and what may come in them, as a
-# factor on the rate and requests above that.
+# Window in which requests are counted, in seconds; they may exceed the rate
+# limit by this factor and this number of requests.
 LIMIT_WINDOW_SECONDS = 4.0
 LIMIT_EXCESS = 1.5
 LIMIT_SLACK = 5
-# Arrivals that are remembered of a target that is not in need.
+# Arrivals that are kept for a target without a rate limit.
 MAX_ARRIVALS = 1_000
 
 IsEvacuated = collections.abc.Callable[[str], bool]
 
 
 class SoakTarget:
-    """Serves calls and streams at an address of its own.
+    """Serves calls and streams at its own address, and checks arrivals.
 
-    ``mood`` is what it does to the next answers: nothing, ``reset`` breaks
-    the connection after the run, ``silent`` never answers, ``shed`` refuses.
+    ``fault_mode`` holds for the next answers: empty for none, ``reset`` aborts
+    the connection after the run, ``silent`` never answers, ``shed`` rejects.
 
-    :param address: where it listens
-    :param announced: where others are told to reach it
-    :param controls: addresses of the voters that take announcements
-    :param promises: notes what it runs
-    :param rng: draws the order in which voters are tried
+    :param address: address to listen on, ``ip:port``
+    :param announced: address that it announces, ``ip:port``
+    :param controls: control addresses of the voters
+    :param checker: records what the target runs, and violations
+    :param rng: random number generator for the order of tried voters
     """
 
     def __init__(
@@ -79,14 +79,14 @@
         self.restarted = False
         self.runs = 0
         self._started_ms = 0
-        # as if it had lived for long: its next life counts from the beginning
+        # High, as after a long run: a restart begins at zero again.
         self._sequence = INITIAL_SEQUENCE
         self._server: web.Server | None = None
         self._listener: asyncio.Server | None = None
         self._task: asyncio.Task | None = None
 
     async def __aenter__(self) -> "SoakTarget":
-        # always later than before, as the unit is a millisecond
+        # Increase it even if the target restarts within one millisecond.
         self._started_ms = max(self._started_ms + 1, int(1000 * time.time()))
         self._server = web.Server(self._serve, access_log=None)
         host, port = self.address.split(":")
@@ -103,12 +103,12 @@
         await self._server.shutdown(0.1)
 
     def turn_cold(self, seconds: float) -> None:
-        """Bear less for some seconds; its next words say so."""
+        """Be cold for some seconds; the next heartbeats announce it."""
         self._cold_until = time.monotonic() + seconds
         self._cold_known_at = None
 
     def _check_cold_limit(self) -> None:
-        """Check what may reach it at all, and how much while it is cold."""
+        """Check that the zone is in use, and the rate while cold."""
         now = time.monotonic()
         if self.is_evacuated(self.zone):
             text = f"{self.address} was sent to in evacuated {self.zone}"
@@ -128,15 +128,15 @@
             self._checker.violations.append(text)
 
     def announce_limit(self, rate: float | None) -> None:
-        """Name the requests a second that it takes; or none any more.
+        """Announce a rate limit in answers from now on, or none.
 
-        :param rate: from all entries together
+        :param rate: requests per second over all entries, or no limit
         """
         self.limit, self._limit_known_at = rate, None
         self.arrivals.clear()
 
     def _check_rate_limit(self) -> None:
-        """Check what reaches it while it names a limit."""
+        """Check the rate of requests while a limit is announced."""
         now = time.monotonic()
         self.arrivals.append(now)
         if self.limit is None:
@@ -152,12 +152,12 @@
         ):
             text = (
                 f"{count} in {LIMIT_WINDOW_SECONDS} s at {self.address},"
-                " in need"
+                " rate-limited"
             )
             self._checker.violations.append(text)
 
     def crash(self) -> None:
-        """Lose all connections and all that runs, at once."""
+        """Abort all connections and running requests at once."""
         self._task.cancel()
         self._listener.close()
         for connection in list(self._server.connections):
@@ -165,15 +165,15 @@
                 connection.transport.abort()
 
     async def restart(self, seconds: float) -> None:
-        """Lose what runs, and start again under the same name.
+        """Stop, lose running requests, and start under the same name.
 
-        :param seconds: until it starts again
+        :param seconds: time until it starts again, in seconds
         """
         async with self._restart_lock:
             await self.__aexit__()
             self.signals.reset()
             await asyncio.sleep(seconds)
-            # nobody knows yet what the next life names
+            # Entries do not know the limit of the restarted target yet.
             self.announce_limit(self.limit)
             self.restarted, self.runs, self._sequence = True, 0, 0
             await self.__aenter__()
@@ -250,7 +250,7 @@
     def _check_signals(
         self, request: web.BaseRequest, refused: bool
     ) -> dict[str, str]:
-        """Check what was asked of the sender; return what is asked now."""
+        """Check earlier signals to the sender; return the current ones."""
         now = time.monotonic()
         entry = request.headers.get("X-Entry")
         if entry is not None:
@@ -274,5 +274,5 @@
 
 
 def describe(targets: list[SoakTarget]) -> str:
-    """Return the targets' moods, for a failure's report."""
+    """Return the fault modes of the targets, for failure reports."""
     return json.dumps({t.address: t.fault_mode for t in targets})
--- a/soak/tests/test_crashes.py
+++ b/soak/tests/test_crashes.py
@@ -1,4 +1,4 @@
-"""Targets that end under one request, with real processes."""
+"""Tests of a request that crashes its targets, with real processes."""
 
 import asyncio
 import contextlib
@@ -9,13 +9,13 @@
 from soak.crashscenario import CrashRecord
 from soak.crashscenario import CrashScenario
 
-# Seconds for which the request goes on coming once every entry must know.
+# Seconds for which the request is repeated once every entry must know of it.
 REPEAT_SECONDS = 4.0
 
 
 @contextlib.asynccontextmanager
 async def run_callers(scenario, session):
-    """Let sound callers ask meanwhile."""
+    """Run callers that send other requests meanwhile."""
     tasks = [asyncio.create_task(scenario.call(session)) for _ in range(4)]
     try:
         yield
@@ -26,7 +26,7 @@
 
 
 def run_scenario(folder, entries: int, disturbed: bool = False) -> CrashRecord:
-    """Play one outbreak to its end."""
+    """Run the scenario and return what callers and targets recorded."""
 
     async def work(block: int):
         scenario = CrashScenario(folder, block, seed=1, entries=entries)
@@ -46,7 +46,7 @@
 
 
 def check(record: CrashRecord) -> None:
-    """Check what targets and both kinds of callers saw."""
+    """Check that the crashing request is blocked and others are served."""
     assert len(record.crashes) >= 3
     assert record.late_arrivals == []
     assert set(record.answers[-4:]) == {503}
@@ -55,18 +55,16 @@
 
 @pytest.mark.parametrize("entries", [1, 3])
 def test_request_that_crashes_targets_is_blocked(entries, tmp_path):
-    # Streams of all teams broke off, over and over. One request ended each
-    # target that began to run it; its caller sent it again, under new ids, at
-    # several entries, and each of these sent it to one target after the other
-    # and remembered nothing. Three ends are allowed, and the time in which
-    # entries can hear of the third; then no target is sent it any more, its
-    # caller is told so at once, and the others are served.
+    # A request crashed each target that ran it and broke the streams of all
+    # teams. Its caller repeated it under new ids at several entries, which
+    # kept no record of crashes and sent it to one target after the other.
+    # Three crashes are allowed, and the time until entries know of the third.
     record = run_scenario(tmp_path, entries)
     check(record)
 
 
 def test_disturbed_entries_block_the_crashing_request(tmp_path):
-    # Entries that stood still or started anew sent the request on.
+    # Entries that had been paused or restarted still sent the request.
     record = run_scenario(tmp_path, 4, disturbed=True)
     assert record.disturbed
     check(record)
--- a/soak/tests/test_limits.py
+++ b/soak/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Targets that name the rate they take, with real processes."""
+"""Tests of targets that announce rate limits, with real processes."""
 
 import asyncio
 import time
@@ -11,27 +11,27 @@
 from soak.trafficscenario import WINDOW_SECONDS
 
 LIMIT = 1.5
-# Seconds after a target first names its limit from which all must know.
+# Seconds after the first announcement of a limit until all entries know it.
 PROPAGATION_SECONDS = 3.0
 # Seconds for which the requests at targets are counted after that.
 COUNTED_SECONDS = 6.0
-# Seconds by which a send may come later than it was permitted: the time in
-# which leave must be used, and that for a connection to stand.
+# Seconds from the grant of a permit to the latest arrival of the request: the
+# time in which the permit is usable, and the time to open a connection.
 LATENESS_SECONDS = 0.75
-# What a target that names the limit may get within a window: what it takes
-# in that time, sends that come late included, and the first one.
+# Requests that a target may get within a window: those that its limit allows
+# in this time, with delayed ones, and the first one.
 MAX_REQUESTS = int(LIMIT * (WINDOW_SECONDS + LATENESS_SECONDS)) + 1
 
 
 def run_scenario(
     folder, entries: int, limited: int, recovered: bool = False
 ) -> TrafficScenario:
-    """Let targets name a limit amid traffic, and count what they get.
+    """Run traffic to targets that announce a limit.
 
-    :param folder: for settings, data and logs
-    :param entries: how many
-    :param in_need: targets that name a limit
-    :param ended: whether they name none any more while requests are counted
+    :param folder: directory for settings, data and logs
+    :param entries: number of entries
+    :param limited: number of targets that announce a limit
+    :param recovered: whether the limit ends before requests are counted
     """
 
     async def work(block: int) -> TrafficScenario:
@@ -55,12 +55,9 @@
 
 @pytest.mark.parametrize("entries", (1, 3))
 def test_rate_limit_holds_over_all_entries(entries, tmp_path):
-    # Users saw targets in need get 15 and 16 requests within four seconds
-    # that had named 1.5 a second. The targets named it in each answer; seven
-    # entries passed that on to callers and read nothing of it, so that each
-    # of them went on as before. Evidence: the same sends a second after the
-    # last entry was told as before, second sends for one request in 72 only,
-    # and no decision that differs by what a target names.
+    # Targets with a limit of 1.5 requests per second got 15 and 16 requests
+    # within four seconds: seven entries forwarded the limit in the answers to
+    # callers without applying it to their own sends.
     scenario = run_scenario(tmp_path, entries, limited=2)
     since = scenario.counted_from
     for target in scenario.targets[:2]:
@@ -70,8 +67,8 @@
 
 
 def test_callers_are_rejected_when_all_targets_are_limited(tmp_path):
-    # Nothing would be served, or all of it: requests wait in a queue that the
-    # rate can't empty, or are sent to targets that do not take them.
+    # Without rejections, requests wait in a queue that grows beyond the limits
+    # of the targets, or are sent to targets above their limits.
     scenario = run_scenario(tmp_path, 3, limited=4)
     since = scenario.counted_from
     for target in scenario.targets:
@@ -82,7 +79,7 @@
 
 
 def test_targets_without_limit_get_full_traffic_again(tmp_path):
-    # With few requests sent, few answers tell that a target has recovered.
+    # With few requests sent, few answers show that a limit has ended.
     scenario = run_scenario(tmp_path, 3, limited=4, recovered=True)
     since = scenario.counted_from
     for target in scenario.targets:
--- a/soak/tests/test_pauses.py
+++ b/soak/tests/test_pauses.py
@@ -1,4 +1,4 @@
-"""Processes that are late again and again, with real processes."""
+"""Tests with real processes that pause repeatedly."""
 
 import asyncio
 import signal
@@ -8,16 +8,16 @@
 from soak.blocks import reserve_block
 from soak.trafficscenario import TrafficScenario
 
-# Seconds for which processes stand still, and run in between: answers are
-# late by more than a request waits, and no lease is lost.
+# Seconds for which processes pause, and run in between: answers come later
+# than the maximum wait of a request, but no lease is lost.
 PAUSE_SECONDS, RUN_SECONDS = 0.25, 0.2
 COLD_SECONDS = 60.0
-# Requests that each cold target must get.
+# Minimum number of requests that each cold target must get.
 MIN_RUNS = 5
 
 
 async def pause_repeatedly(processes) -> None:
-    """Let processes stand still for moments, until cancelled."""
+    """Pause processes repeatedly, until cancelled."""
     try:
         while True:
             for process in processes:
@@ -33,14 +33,14 @@
 
 @pytest.mark.parametrize("role", ("voters", "entries"))
 def test_cold_targets_are_used_while_processes_pause(role, tmp_path):
-    # Leave to send lapsed before it came, and a service whose targets are all
-    # cold was served by nobody.
+    # Permits expired before the entries got them, and a service with only cold
+    # targets was not served at all.
     async def work(block: int) -> TrafficScenario:
         scenario = TrafficScenario(tmp_path, block, 1, 3)
         async with asyncio.timeout(60), scenario.run():
             for target in scenario.targets:
                 target.turn_cold(COLD_SECONDS)
-            # until the entries know, they send as before
+            # Until entries know that targets are cold, they send as before.
             await asyncio.sleep(1.5)
             before = [target.runs for target in scenario.targets]
             late = asyncio.create_task(
@@ -58,5 +58,5 @@
     with reserve_block() as block:
         scenario = asyncio.run(work(block))
     for target in scenario.targets:
-        # what it bears cold, it checks by itself
+        # The target itself checks the number of requests while it is cold.
         assert target.signals.violations == []
--- a/soak/tests/test_proxy.py
+++ b/soak/tests/test_proxy.py
@@ -1,4 +1,4 @@
-"""The proxy's own checks: what it passes on, and what it harms."""
+"""Tests of the proxy: what it forwards, and the faults that it injects."""
 
 import asyncio
 import contextlib
@@ -13,7 +13,7 @@
 
 
 class Echo:
-    """Sends back what it gets, and keeps it."""
+    """Echoes received bytes, and records them."""
 
     def __init__(self) -> None:
         self.got = b""
@@ -28,7 +28,7 @@
 
 
 def run_scenario(test) -> None:
-    """Run a test over a proxy before an echoing server."""
+    """Run a test with a proxy in front of an echo server."""
 
     async def work():
         echo = Echo()
@@ -48,13 +48,13 @@
 
 
 async def exchange(reader, writer, data: bytes) -> bytes:
-    """Send something and return the echo."""
+    """Send data and return the echo."""
     writer.write(data)
     return await reader.readexactly(len(data))
 
 
 async def wait_for_silence(proxy) -> None:
-    """Return once the proxy has lost a part of some connection."""
+    """Wait until the proxy has dropped bytes of a connection."""
     while not proxy.silenced_connections:
         await asyncio.sleep(0.01)
 
--- a/soak/tests/test_signals.py
+++ b/soak/tests/test_signals.py
@@ -1,4 +1,4 @@
-"""Targets that ask for rest, and that leave, by their answers alone."""
+"""Tests of backoff and leaving signals that only answers carry."""
 
 import asyncio
 
@@ -9,20 +9,20 @@
 from soak.trafficscenario import TrafficScenario
 
 REST_SECONDS = 3.0
-# Callers for each entry, and seconds between two requests of one: an average
-# of failures takes longer than half a second to shut a target out.
+# Callers per entry, and seconds between two requests of a caller: so few that
+# the failure rate excludes a target only after more than half a second.
 CALLERS = 2
 PAUSE_SECONDS = 0.3
-# Seconds in which targets turn away what they are sent.
+# Seconds for which targets send the signals.
 FULL_SECONDS = 7.0
 
 
 def run_scenario(folder, entries: int, work) -> TrafficScenario:
-    """Run real processes and callers beside what a test does.
+    """Run real processes and callers during a test's coroutine.
 
-    :param folder: for settings, data and logs
-    :param entries: how many
-    :param work: a coroutine of the test; the targets are given to it
+    :param folder: directory for settings, data and logs
+    :param entries: number of entries
+    :param work: coroutine function of the test, called with the targets
     """
 
     async def run(block: int) -> TrafficScenario:
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("entries", (1, 3))
 def test_backoff_of_a_target_is_respected(entries, tmp_path):
-    # Targets got three requests of an entry that was to wait for 3 s.
+    # Targets got three requests from an entry within its backoff of 3 s.
     async def work(targets):
         for target in targets[:2]:
             target.fault_mode, target.signals.rest = "shed", REST_SECONDS
@@ -57,7 +57,8 @@
 
 @pytest.mark.parametrize("entries", (1, 3))
 def test_leaving_target_gets_no_new_requests(entries, tmp_path):
-    # It said so in its answers alone, and was sent requests until its end.
+    # A target that announced only in answers that it was leaving got requests
+    # until its end.
     async def work(targets):
         for target in targets[:2]:
             target.signals.is_leaving = True
--- a/soak/tests/test_soak.py
+++ b/soak/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short seeded run of the soak, and its own checks."""
+"""Short seeded runs of the soak test, and a test of its checker."""
 
 import asyncio
 
@@ -14,8 +14,8 @@
 from soak.invariantchecker import make_expected_body
 from soak.run import Soak
 
-# Seeds, the set of faults that they draw from, and the seconds for which they
-# inject them.
+# For each seed, the version of the set of faults and the seconds for which
+# faults are injected.
 SEEDS = {
     1: (FIRST_SET, 6.0),
     2: (FIRST_SET, 6.0),
@@ -30,7 +30,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_invariants_hold_under_faults(seed, tmp_path):
-    # Any promise to callers that breaks while processes and targets fail.
+    # Guards every invariant while processes and targets fail.
     kinds, seconds = SEEDS[seed]
     with reserve_block() as block:
         soak = Soak(seed, tmp_path, block, kinds)
@@ -40,7 +40,7 @@
 
 
 def test_restarted_targets_are_used(tmp_path):
-    # Targets that had started again got no work.
+    # Restarted targets got no requests.
     with reserve_block() as block:
         soak = Soak(7, tmp_path, block)
         soak.faults.keep_only("restart_target")
@@ -50,8 +50,8 @@
 
 
 def test_invalid_announcements_are_rejected(tmp_path):
-    # Another writer announces what no target says, also in targets' names:
-    # all of it is refused, and callers are served as before.
+    # A foreign writer sends invalid announcements, also under the names of
+    # targets: all are rejected, and callers are served as before.
     with reserve_block() as block:
         soak = Soak(8, tmp_path, block)
         soak.faults.keep_only("write_nonsense")
@@ -61,7 +61,8 @@
 
 
 def test_evacuated_zones_and_cold_targets_are_spared(tmp_path):
-    # Sends to evacuated zones, and more than cold targets bear.
+    # Guards against requests to evacuated zones, and against more requests to
+    # cold targets than they take.
     with reserve_block() as block:
         soak = Soak(9, tmp_path, block)
         soak.faults.keep_only("evacuate", "turn_cold", "kill", "freeze")
@@ -71,8 +72,8 @@
 
 
 def test_rate_limits_hold_under_faults(tmp_path):
-    # More than targets in need take, while processes fail; or no use of them
-    # later.
+    # Guards against requests above the rate limits of targets while processes
+    # fail, and against targets that stay unused afterwards.
     with reserve_block() as block:
         soak = Soak(10, tmp_path, block)
         soak.faults.keep_only("need", "kill", "freeze", "stop", "kill_all")
@@ -82,8 +83,8 @@
 
 
 def test_backoffs_and_leaving_targets_are_respected(tmp_path):
-    # Requests within the rest that an entry was asked for, or new ones to a
-    # target that leaves, while processes fail.
+    # Guards against requests within a backoff, and against new requests to a
+    # leaving target, while processes fail.
     with reserve_block() as block:
         soak = Soak(14, tmp_path, block)
         soak.faults.keep_only("rest", "leave", "kill", "freeze", "harm_links")
--- a/soak/tests/test_start.py
+++ b/soak/tests/test_start.py
@@ -1,4 +1,4 @@
-"""Signals to a process that has just begun, with real processes."""
+"""Tests of signals to a process that has just started."""
 
 import signal
 import time
@@ -11,7 +11,8 @@
 
 @pytest.mark.parametrize("role", ("voter", "entry"))
 def test_sighup_while_a_process_loads_does_not_end_it(role, tmp_path):
-    # It had no meaning for the signal yet, whose default is to end.
+    # No handler was installed yet, and the default action of SIGHUP ends the
+    # process.
     with reserve_block() as block:
         ip = f"127.{block}.1.1"
         process = Process(role, ip, [f"{ip}:8748"], tmp_path)
--- a/soak/trafficscenario.py
+++ b/soak/trafficscenario.py
@@ -1,4 +1,4 @@
-"""Targets in need, which name the rate that they take."""
+"""Continuous traffic to targets that may announce rate limits."""
 
 import asyncio
 import contextlib
@@ -17,20 +17,20 @@
 
 TARGETS = 4
 CALLERS = 8
-# Seconds in which requests at a target are counted.
+# Length of the window in which requests at a target are counted, in seconds.
 WINDOW_SECONDS = 4.0
 # Seconds between two requests of a caller.
 PAUSE_SECONDS = 0.1
 
 
 class TrafficScenario(Cluster):
-    """Real entries and voters, callers, and targets that name limits.
+    """Runs entries, voters, callers and targets with rate limits.
 
-    :param folder: for settings, data and logs
-    :param block: second byte of its loopback addresses
-    :param seed: of everything that is drawn
-    :param entries: how many
-    :param callers: how many
+    :param folder: directory for settings, data and logs
+    :param block: second byte of the loopback addresses
+    :param seed: seed of the random number generator
+    :param entries: number of entries
+    :param callers: number of concurrent callers
     :param pause: seconds between two requests of a caller
     """
 
@@ -57,7 +57,7 @@
 
     @contextlib.asynccontextmanager
     async def run(self):
-        """Run everything, with callers, until the context is left."""
+        """Run the cluster with callers until the context is left."""
         async with self.start(make_config(1)) as session:
             for entry in self.entries:
                 while (await self.send_request(session, entry)).status != 200:
@@ -82,7 +82,7 @@
     async def send_request(
         self, session: aiohttp.ClientSession, entry: Process
     ) -> Reply:
-        """Send one request that may run once."""
+        """Send one non-idempotent request."""
         self._number += 1
         headers = {
             "Host": "h.example",
@@ -104,10 +104,10 @@
 
 
 def count_busiest(arrivals: list[float], since: float) -> int:
-    """Count the requests in the busiest window from a moment on.
+    """Return the number of requests in the busiest window.
 
-    :param arrivals: of requests at a target, in monotonic seconds
-    :param since: first moment that counts
+    :param arrivals: times of requests at a target, in monotonic seconds
+    :param since: time from which requests count, in monotonic seconds
     """
     later = sorted(at for at in arrivals if at >= since)
     return max(
