--- a/packages/wire/src/chivepier/wire/channel.py
+++ b/packages/wire/src/chivepier/wire/channel.py
@@ -1,4 +1,4 @@
-"""One connection between two processes."""
+"""Message exchange over one connection between two processes."""
 
 import asyncio
 import inspect
@@ -23,23 +23,32 @@
 
 Handler = typing.Callable[[typing.Any, "Channel"], typing.Any]
 
-SILENCE_SECONDS = 2.0
+# A link without received frames for this long is closed when a request on it
+# times out.
+MAX_SILENCE_SECONDS = 2.0
 
 
 def prepare(value: typing.Any) -> tuple:
-    """Take a one-way message apart once, for sending it to several peers.
+    """Pack a one-way message once, to send it to several peers.
 
     :param value: a registered message
-    :returns: for :meth:`Channel.send_prepared`
+    :returns: the packed message, for :meth:`Channel.send_prepared`
     """
     return pack_part(Part.SEND, 0, value)
 
 
 class Channel:
-    """Requests, answers and one-way messages over one websocket.
+    """Exchanges requests, answers and one-way messages over one websocket.
 
-    What is ready when the writer comes round goes out as one frame, so that
-    a busy link pays for the frame once; nothing waits for a frame to fill.
+    Everything that is queued when the writer runs is sent as one frame, which
+    saves overhead on a busy link; no message waits for a frame to fill.
+
+    :param socket: the websocket connection
+    :param peer: address of the peer as ``ip:port``
+    :param handler: handles received messages and returns the answer, if any
+    :param faults: peers whose frames are dropped, for tests
+    :param traffic: counters of the process's peer links
+    :param clock: measures the age of messages and the silence of the peer
     """
 
     def __init__(
@@ -57,32 +66,32 @@
         self._faults = faults
         self._traffic = traffic
         self._clock = clock
-        self._numbers = itertools.count(1)
-        self._waiting: dict[int, asyncio.Future] = {}
+        self._request_numbers = itertools.count(1)
+        self._pending: dict[int, asyncio.Future] = {}
         self._outbox = Outbox(clock)
         self._ready = asyncio.Event()
         self._tasks: set[asyncio.Task] = set()
-        self._heard = self._clock.monotonic()
-        self._quiet_from: float | None = None
+        self._last_received = self._clock.monotonic()
+        self._silent_since: float | None = None
         self.closed = False
 
     async def run(self) -> None:
-        """Read and write until the connection ends."""
+        """Receive and send messages until the connection ends."""
         writer = asyncio.create_task(self._write())
         try:
             async for data in self._socket:
                 if self.closed:
                     break
                 if not self._faults.blocks(self.peer):
-                    self._heard = self._clock.monotonic()
-                    self._quiet_from = None
+                    self._last_received = self._clock.monotonic()
+                    self._silent_since = None
                     self._receive(data)
         except websockets.ConnectionClosed:
             pass
         finally:
             self.closed = True
             writer.cancel()
-            self._fail_all()
+            self._fail_pending()
             await self._socket.close()
 
     async def _write(self) -> None:
@@ -107,14 +116,16 @@
         try:
             parts = load_frame(data)
         except ValueError as error:
-            log.warn("frame refused peer={} error={}", self.peer, error)
+            log.warn(
+                "malformed frame ignored peer={} error={}", self.peer, error
+            )
             return
         for part, number, value in parts:
             match part:
                 case Part.ANSWER:
-                    self._settle(number, value)
+                    self._resolve(number, value)
                 case Part.FAILED:
-                    self._settle_error(number, value)
+                    self._reject(number, value)
                 case Part.REQUEST | Part.SEND:
                     self._handle(part, number, value)
 
@@ -124,18 +135,22 @@
         except RefusedError as error:
             self._reply_error(part, number, error)
             return
-        except Exception as error:  # the peer is told, the link lives on
+        except (
+            Exception
+        ) as error:  # the peer gets the error, the link stays open
             log.exception("handler failed message={}", type(value).__name__)
             self._reply_error(part, number, error)
             return
         if inspect.isawaitable(answer):
-            task = asyncio.ensure_future(self._finish(part, number, answer))
+            task = asyncio.ensure_future(
+                self._await_answer(part, number, answer)
+            )
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
             return
         self._reply(part, number, answer)
 
-    async def _finish(self, part: Part, number: int, answer) -> None:
+    async def _await_answer(self, part: Part, number: int, answer) -> None:
         try:
             value = await answer
         except RefusedError as error:
@@ -149,86 +164,88 @@
 
     def _reply(self, part: Part, number: int, value: typing.Any) -> None:
         if part is Part.REQUEST and value is not None:
-            self._post(pack_part(Part.ANSWER, number, value))
+            self._enqueue(pack_part(Part.ANSWER, number, value))
 
     def _reply_error(self, part: Part, number: int, error) -> None:
         if part is Part.REQUEST:
-            self._post(pack_part(Part.FAILED, number, repr(error)))
+            self._enqueue(pack_part(Part.FAILED, number, repr(error)))
 
-    def _post(self, part: tuple) -> None:
+    def _enqueue(self, part: tuple) -> None:
         if self.closed:
             return
         dropped = self._outbox.add(part)
         if dropped:
             self._traffic.dropped_parts += dropped
-            log.warn("old news dropped peer={} parts={}", self.peer, dropped)
+            log.warn(
+                "expired messages dropped peer={} parts={}", self.peer, dropped
+            )
         self._ready.set()
 
     def send(self, value: typing.Any) -> None:
-        """Post a one-way message; it may be lost with the connection.
+        """Queue a one-way message; it is lost if the connection breaks.
 
         :param value: a registered message
         """
-        self._post(prepare(value))
+        self._enqueue(prepare(value))
 
     def send_prepared(self, part: tuple) -> None:
-        """Post a one-way message that goes to several peers.
+        """Queue a one-way message that was packed once for several peers.
 
-        :param part: what :func:`prepare` made of it
+        :param part: the message as packed by :func:`prepare`
         """
-        self._post(part)
+        self._enqueue(part)
 
     async def request(self, value: typing.Any, timeout: float) -> typing.Any:
-        """Post a request and wait for its answer.
+        """Send a request and wait for its answer.
 
         :param value: a registered message
-        :param timeout: seconds to wait
-        :returns: the answer's message
-        :raises LinkError: when the link fails or the time is over
+        :param timeout: maximum time to wait for the answer, in seconds
+        :returns: the message in the answer
+        :raises LinkError: when the link fails or the timeout expires
         """
         if self.closed:
             raise LinkError(f"link to {self.peer} is closed", sent=False)
         sent = self._clock.monotonic()
-        number = next(self._numbers)
+        number = next(self._request_numbers)
         future = asyncio.get_running_loop().create_future()
-        self._waiting[number] = future
-        self._post(pack_part(Part.REQUEST, number, value))
+        self._pending[number] = future
+        self._enqueue(pack_part(Part.REQUEST, number, value))
         try:
             async with asyncio.timeout(timeout):
                 return await future
         except TimeoutError:
-            self._note_timeout(sent)
+            self._handle_timeout(sent)
             text = f"no answer from {self.peer} in {timeout}s"
             raise LinkError(text, sent=True) from None
         finally:
-            self._waiting.pop(number, None)
-
-    def _note_timeout(self, sent: float) -> None:
-        # after a long cut the kernel waits up to minutes before it sends
-        # again; a new connection starts at once
-        if self._quiet_from is None:
-            self._quiet_from = max(sent, self._heard)
-        if self._clock.monotonic() - self._quiet_from > SILENCE_SECONDS:
+            self._pending.pop(number, None)
+
+    def _handle_timeout(self, sent: float) -> None:
+        # After a long partition TCP may wait minutes before it retransmits;
+        # closing the link makes the next request open a new connection.
+        if self._silent_since is None:
+            self._silent_since = max(sent, self._last_received)
+        if self._clock.monotonic() - self._silent_since > MAX_SILENCE_SECONDS:
             self.closed = True
             self._outbox.clear()
-            self._fail_all()
+            self._fail_pending()
 
-    def _settle(self, number: int, value: typing.Any) -> None:
-        future = self._waiting.pop(number, None)
+    def _resolve(self, number: int, value: typing.Any) -> None:
+        future = self._pending.pop(number, None)
         if future is not None and not future.done():
             future.set_result(value)
 
-    def _settle_error(self, number: int, text: str) -> None:
-        future = self._waiting.pop(number, None)
+    def _reject(self, number: int, text: str) -> None:
+        future = self._pending.pop(number, None)
         if future is not None and not future.done():
             future.set_exception(LinkError(text, sent=True))
 
-    def _fail_all(self) -> None:
-        for future in self._waiting.values():
+    def _fail_pending(self) -> None:
+        for future in self._pending.values():
             if not future.done():
                 text = f"link to {self.peer} was lost"
                 future.set_exception(LinkError(text, sent=True))
-        self._waiting.clear()
+        self._pending.clear()
 
     async def close(self) -> None:
         """Close the connection."""
--- a/packages/wire/src/chivepier/wire/outbox.py
+++ b/packages/wire/src/chivepier/wire/outbox.py
@@ -1,25 +1,26 @@
-"""What waits to be sent to one peer."""
+"""Queue of outgoing messages to one peer."""
 
 import collections
 
 from chivepier.types import Clock
 from chivepier.wire.frame import Part
 
-# Seconds after which a one-way message is no longer sent: peers ask again for
-# what they miss, several times in this time.
-NEWS_SECONDS = 2.0
-# Seconds between two looks for such messages.
-LOOK_SECONDS = 0.5
-# Parts that are encoded at a time, once for each peer.
-MOST_PARTS = 256
+# Seconds after which a queued one-way message expires: peers request missing
+# data again several times within this time.
+MAX_MESSAGE_AGE_SECONDS = 2.0
+# Seconds between two searches for expired messages.
+PURGE_INTERVAL_SECONDS = 0.5
+# Parts that are encoded at a time: encoding a long queue for each of hundreds
+# of peers at once would block the event loop.
+MAX_BATCH_PARTS = 256
 
 
 class Outbox:
-    """Keeps the order of what is posted, and drops news that is old.
+    """Queues parts in order, and drops one-way messages that are too old.
 
-    A peer that is slower than its news would else be sent ever older ones,
-    and all that waits would fill the memory. Questions and answers are kept:
-    who asks waits for a bounded time and then asks no more.
+    Without this, a peer that reads too slowly would get ever older messages,
+    and its queue would fill the memory. Requests and answers never expire:
+    their number is bounded, as each requester stops at its timeout.
 
     >>> from chivepier.types import ManualClock
     >>> clock = ManualClock()
@@ -32,50 +33,53 @@
     >>> box.take()
     [(1, 1, 8, ())]
 
-    :param clock: by which news is old
+    :param clock: measures the age of queued messages
     """
 
     def __init__(self, clock: Clock):
         self._clock = clock
-        self._waiting: collections.deque[tuple[float, tuple]] = (
+        self._queue: collections.deque[tuple[float, tuple]] = (
             collections.deque()
         )
-        self._looked = clock.monotonic()
+        self._last_purged = clock.monotonic()
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._queue)
 
     def add(self, part: tuple) -> int:
-        """Let a part wait behind the others.
+        """Append a part to the queue.
 
-        :param part: what :func:`pack_part` made
-        :returns: how many older ones were dropped
+        :param part: a part built by :func:`pack_part`
+        :returns: number of expired messages that were dropped
         """
         now = self._clock.monotonic()
         dropped = 0
-        if now - self._looked >= LOOK_SECONDS:
-            self._looked = now
-            dropped = self._drop_old(now)
-        self._waiting.append((now, part))
+        if now - self._last_purged >= PURGE_INTERVAL_SECONDS:
+            self._last_purged = now
+            dropped = self._drop_expired(now)
+        self._queue.append((now, part))
         return dropped
 
-    def _drop_old(self, now: float) -> int:
-        if not self._waiting or now - self._waiting[0][0] <= NEWS_SECONDS:
+    def _drop_expired(self, now: float) -> int:
+        if (
+            not self._queue
+            or now - self._queue[0][0] <= MAX_MESSAGE_AGE_SECONDS
+        ):
             return 0
-        kept = collections.deque(
+        remaining = collections.deque(
             (since, part)
-            for since, part in self._waiting
-            if part[0] != Part.SEND or now - since <= NEWS_SECONDS
+            for since, part in self._queue
+            if part[0] != Part.SEND or now - since <= MAX_MESSAGE_AGE_SECONDS
         )
-        dropped = len(self._waiting) - len(kept)
-        self._waiting = kept
+        dropped = len(self._queue) - len(remaining)
+        self._queue = remaining
         return dropped
 
     def take(self) -> list[tuple]:
-        """Return the next parts, which wait no longer."""
-        count = min(MOST_PARTS, len(self._waiting))
-        return [self._waiting.popleft()[1] for _ in range(count)]
+        """Remove and return the next parts to send."""
+        count = min(MAX_BATCH_PARTS, len(self._queue))
+        return [self._queue.popleft()[1] for _ in range(count)]
 
     def clear(self) -> None:
-        """Let nothing wait any more."""
-        self._waiting.clear()
+        """Remove all queued parts."""
+        self._queue.clear()
--- a/packages/wire/src/chivepier/wire/tests/test_silence.py
+++ b/packages/wire/src/chivepier/wire/tests/test_silence.py
@@ -1,4 +1,4 @@
-"""Links that fall silent without a reset."""
+"""Tests of links that fall silent without a connection reset."""
 
 import asyncio
 import contextlib
@@ -14,17 +14,17 @@
 from chivepier.wire import PeerServer
 
 KEY = "key-of-tests"
-ASK = FreshRequest("a", 1, 1)
+REQUEST = FreshRequest("a", 1, 1)
 
 
 def answer(message, channel):
-    """Answer each question."""
+    """Answer each request."""
     return FreshAnswer("b", 1, 2)
 
 
 @contextlib.asynccontextmanager
 async def connect():
-    """Yield links, the address of a peer, and the links' faults."""
+    """Yield links, the address of a peer, and the faults of the links."""
     faults = Faults()
     async with PeerServer(
         "127.0.0.1", 0, answer, KEY, SystemClock()
@@ -33,12 +33,12 @@
             yield links, f"127.0.0.1:{server.port}", faults
 
 
-async def ask_until(links, peer, outcome):
-    """Ask again and again until a request succeeds, or fails."""
+async def request_until(links, peer, outcome):
+    """Repeat a request until it succeeds, or until it fails."""
     async with asyncio.timeout(30):
         while True:
             try:
-                await links.request(peer, ASK, 0.2)
+                await links.request(peer, REQUEST, 0.2)
                 if outcome:
                     return
             except LinkError:
@@ -47,63 +47,64 @@
                 await asyncio.sleep(0.01)
 
 
-def test_request_over_a_cut_link_times_out_and_a_healed_link_works():
-    """A link is cut without a reset for longer than it may be silent.
+def test_silent_link_is_closed_and_replaced():
+    """A partition without a reset outlasts the maximum silence of a link.
 
-    Requests end by their own time, and the next one after the cut is
-    answered: the old connection, which the kernel would try again only
-    minutes later, is not used any more.
+    Requests end at their timeout. The first one after the partition is
+    answered over a new connection: TCP might retransmit on the old one only
+    minutes later.
     """
 
     async def body():
         async with connect() as (links, peer, faults):
-            await links.request(peer, ASK, 5)
+            await links.request(peer, REQUEST, 5)
             old = links._channels[peer]
             faults.cut = {peer}
             async with asyncio.timeout(30):
                 while not old.closed:
                     with pytest.raises(LinkError):
-                        await links.request(peer, ASK, 0.2)
+                        await links.request(peer, REQUEST, 0.2)
             faults.cut = set()
-            await ask_until(links, peer, True)
+            await request_until(links, peer, True)
             assert links._channels[peer] is not old
 
     asyncio.run(body())
 
 
-def test_waiting_for_a_connection_is_shared():
-    """Many requests meet a peer that does not answer the handshake.
+def test_concurrent_requests_share_one_connection_attempt():
+    """A peer does not answer the handshake of many concurrent requests.
 
-    One after the other, each would wait for those before it; all end
-    within their own time.
+    With one connection attempt after the other, requests would wait for the
+    earlier ones beyond their own timeout.
     """
 
     async def body():
         async with connect() as (links, peer, faults):
             faults.cut = {peer}
-            asks = [links.request(peer, ASK, 0.3) for _ in range(20)]
+            requests = [links.request(peer, REQUEST, 0.3) for _ in range(20)]
             async with asyncio.timeout(4):
-                done = await asyncio.gather(*asks, return_exceptions=True)
+                done = await asyncio.gather(*requests, return_exceptions=True)
             assert all(isinstance(e, LinkError) for e in done)
             assert not any(e.sent for e in done)
 
     asyncio.run(body())
 
 
-def test_slow_answer_does_not_close_a_link_that_was_idle():
-    """A link was idle for long; one answer takes longer than its time.
+def test_slow_answer_does_not_close_an_idle_link():
+    """One request times out on a link that had been idle for long.
 
-    Other requests that wait on the link for a place in a queue go on.
+    Closing the link would fail other requests that wait on it, such as those
+    in a queue at the peer.
     """
 
     async def body():
         async with connect() as (links, peer, faults):
-            await links.request(peer, ASK, 5)
+            await links.request(peer, REQUEST, 5)
             channel = links._channels[peer]
-            channel._heard -= 1000
+            channel._last_received -= 1000
             faults.cut = {peer}
             with pytest.raises(LinkError):
-                await links.request(peer, ASK, 0.05)
+                await links.request(peer, REQUEST, 0.05)
             assert not channel.closed
 
     asyncio.run(body())
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Plays seeds of the soak: ``python -m soak --seeds 3 --seconds 15``."""
+"""Runs seeds of the soak test: ``python -m soak --seeds 3 --seconds 15``."""
 
 import asyncio
 import pathlib
@@ -29,7 +29,7 @@
 def main(
     seed: int | None, seeds: int, seconds: float, block: int, kinds: int
 ) -> None:
-    """Play seeds; keep the logs of those that fail."""
+    """Run seeds, and keep the logs of those that fail."""
     failed = 0
     for _ in range(seeds):
         chosen = seed if seed is not None else random.randrange(1 << 32)
@@ -39,12 +39,12 @@
         print(
             f"seed {chosen}: answered {seen.answered}, failed {seen.failed},"
             f" changes {seen.acknowledged}, faults {len(soak.faults.names)},"
-            f" broken {len(seen.broken)}",
+            f" broken {len(seen.violations)}",
             flush=True,
         )
-        if seen.broken:
+        if seen.violations:
             failed += 1
-            for text in seen.broken[:10]:
+            for text in seen.violations[:10]:
                 print(f"  {text}")
             print(f"  faults: {' '.join(soak.faults.names)}; logs: {folder}")
         else:
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,13 +1,13 @@
-"""A loopback proxy that harms the connections through it."""
+"""A loopback proxy that injects faults into its connections."""
 
 import asyncio
 import random
 import socket
 import struct
 
-PART_BYTES = 1 << 16
-# Seconds that a slow link holds each part back: from a few round trips
-# between availability zones to more than the objective of a call.
+CHUNK_BYTES = 1 << 16
+# Range of the seconds that a slow link delays each chunk: from a few round
+# trips between availability zones to more than a call's latency objective.
 DELAY_SECONDS = (0.02, 0.4)
 LOST_SENT = "lost_sent"
 LOST_ANSWERS = "lost_answers"
@@ -15,24 +15,24 @@
 
 
 class Proxy:
-    """Passes bytes on between its own address and one behind it.
+    """Forwards bytes between its own address and an upstream address.
 
-    ``mood`` is what it does to all connections: nothing, ``slow`` delays each
-    part, ``lost_sent`` and ``lost_answers`` lose what goes one way. A
-    connection that has lost a part stays silent that way for good, without a
-    reset, while new ones work: only a timeout shows it. ``silenced`` counts
-    these.
+    ``fault_mode`` holds for all connections: empty for none, ``slow`` delays
+    each chunk, ``lost_sent`` and ``lost_answers`` drop the bytes of one
+    direction. A connection that has dropped a chunk drops that direction for
+    good, without a reset, while new ones work: only a timeout detects it.
+    ``silenced_connections`` counts these.
 
-    :param address: that others are told
-    :param behind: what it passes to
-    :param rng: draws delays
+    :param address: address to listen on, ``ip:port``
+    :param upstream: address to forward to, ``ip:port``
+    :param rng: random number generator that draws the delays
     """
 
-    def __init__(self, address: str, behind: str, rng: random.Random):
+    def __init__(self, address: str, upstream: str, rng: random.Random):
         self.address = address
-        self.mood = ""
-        self.silenced = 0
-        self._behind = behind
+        self.fault_mode = ""
+        self.silenced_connections = 0
+        self._upstream = upstream
         self._rng = rng
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
@@ -57,7 +57,7 @@
     def reset(self) -> None:
         """Reset all open connections, on both sides."""
         for writer in list(self._writers):
-            # closed with nothing lingering, the peer gets a reset
+            # With a linger time of zero, closing sends a reset to the peer.
             writer.get_extra_info("socket").setsockopt(
                 socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
             )
@@ -69,7 +69,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _serve(self, reader, writer) -> None:
-        host, port = self._behind.split(":")
+        host, port = self._upstream.split(":")
         try:
             other_reader, other = await asyncio.open_connection(
                 host, int(port)
@@ -85,21 +85,21 @@
                     self._pump(other_reader, writer, LOST_ANSWERS)
                 )
         except* OSError:
-            # reset by either side: so is the other one
+            # One side was reset; the other one is reset below.
             pass
         finally:
             self._writers -= {writer, other}
             writer.transport.abort()
             other.transport.abort()
 
-    async def _pump(self, reader, writer, lost: str) -> None:
+    async def _pump(self, reader, writer, dropped_mode: str) -> None:
         silent = False
-        while data := await reader.read(PART_BYTES):
-            if self.mood == SLOW:
+        while data := await reader.read(CHUNK_BYTES):
+            if self.fault_mode == SLOW:
                 await asyncio.sleep(self._rng.uniform(*DELAY_SECONDS))
-            if self.mood == lost and not silent:
+            if self.fault_mode == dropped_mode and not silent:
                 silent = True
-                self.silenced += 1
+                self.silenced_connections += 1
             if not silent:
                 writer.write(data)
                 await writer.drain()
