--- a/packages/gateway/src/chivepier/gateway/config/configuration.py
+++ b/packages/gateway/src/chivepier/gateway/config/configuration.py
@@ -30,21 +30,21 @@
         names = {service.name for service in self.services}
         if len(names) < len(self.services):
             raise ConfigurationError("two services share a name")
-        places = set()
+        host_prefixes = set()
         for route in self.routes:
             _check_route(route, names)
-            place = (route.host, route.prefix)
-            if place in places:
+            host_prefix = (route.host, route.prefix)
+            if host_prefix in host_prefixes:
                 text = f"route {route.name}: its host and prefix are taken"
                 raise ConfigurationError(text)
-            places.add(place)
+            host_prefixes.add(host_prefix)
         self._check_keys()
 
     def _check_keys(self) -> None:
-        holders: dict[str, str] = {}
+        team_by_key: dict[str, str] = {}
         for team in self.teams:
             for key in team.keys:
-                other = holders.setdefault(key, team.name)
+                other = team_by_key.setdefault(key, team.name)
                 if other != team.name:
                     text = f"teams {other} and {team.name} share a key"
                     raise ConfigurationError(text)
--- a/packages/gateway/src/chivepier/gateway/config/routeindex.py
+++ b/packages/gateway/src/chivepier/gateway/config/routeindex.py
@@ -29,7 +29,7 @@
         self.services: dict[str, Service] = {
             service.name: service for service in configuration.services
         }
-        self.asks_keys = bool(configuration.teams)
+        self.requires_key = bool(configuration.teams)
 
     def find_route(self, host: str, path: str) -> Route | None:
         """Find the route with the longest prefix.
--- a/packages/gateway/src/chivepier/gateway/config/tests/test_configuration.py
+++ b/packages/gateway/src/chivepier/gateway/config/tests/test_configuration.py
@@ -45,7 +45,7 @@
         ([ROUTE, attrs.evolve(ROUTE, name="q")], "taken"),
     ],
 )
-def test_contradictions_are_named(routes, text):
+def test_contradiction_is_reported(routes, text):
     with pytest.raises(ConfigurationError, match=text):
         make(*routes).check()
 
--- a/packages/gateway/src/chivepier/gateway/control/tests/fleet.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/fleet.py
@@ -11,11 +11,11 @@
 from chivepier.gateway.config import Service
 from chivepier.gateway.control import Voter
 from chivepier.gateway.eventlog import EventLog
-from chivepier.gateway.following import Following
 from chivepier.gateway.following import LimitExchange
 from chivepier.gateway.following import LoadExchange
 from chivepier.gateway.following import Peers
 from chivepier.gateway.following import QuarantineExchange
+from chivepier.gateway.following import VoterClient
 from chivepier.gateway.limits import LimitTable
 from chivepier.gateway.messages import PermitAnswer
 from chivepier.gateway.messages import PermitRequest
@@ -97,7 +97,7 @@
         )
         self.faults = Faults()
         self.links = Links(name, KEY, self._handle, self.faults, clock)
-        self.following = Following(
+        self.following = VoterClient(
             name=name,
             address=f"{name}:80",
             zone=zone,
@@ -109,7 +109,7 @@
             loads=LoadExchange(
                 self.board, self.queues, self.budget, self.table, clock
             ),
-            suspects=QuarantineExchange(self.quarantine, clock),
+            quarantine=QuarantineExchange(self.quarantine, clock),
             limits=LimitExchange(self.limits, clock),
             leavers=self.leavers,
             freshness=self.freshness,
@@ -118,8 +118,8 @@
         )
         self._stack = contextlib.AsyncExitStack()
         self._pending_beats = 0
-        self._send_beat = self.following._beat
-        self.following._beat = self._beat
+        self._send_beat = self.following._send_beat
+        self.following._send_beat = self._beat
 
     async def _beat(self, address, voter) -> None:
         self._pending_beats += 1
@@ -137,14 +137,14 @@
     @property
     def hub(self) -> str | None:
         """Address of the voter that the entry follows."""
-        return self.following.hub
+        return self.following.followed_voter
 
     def is_up_to_date(self, voters: dict[str, Voter]) -> bool:
         """Tell whether the entry has all target revisions of the voters."""
         known = self.following._voters
         return all(
             address in known
-            and known[address].revision == voter.registry.revision > 0
+            and known[address].targets_revision == voter.registry.revision > 0
             for address, voter in voters.items()
         )
 
@@ -157,7 +157,7 @@
 
         :returns: the original function that sends a beat
         """
-        beat = self.following._beat
+        beat = self.following._send_beat
         self.stop_beats()
         await wait_until(lambda: not self._pending_beats)
         return beat
@@ -168,7 +168,7 @@
         async def skip_beat(address, voter) -> None:
             return
 
-        self.following._beat = skip_beat
+        self.following._send_beat = skip_beat
 
     def borrow(self, service: str) -> bool:
         """Use up the own retry budget; tell whether a retry was borrowed."""
@@ -206,7 +206,7 @@
         return self.quarantine.find_hold(digest) is not None
 
     async def _ask_permit(self, request: PermitRequest) -> PermitAnswer | None:
-        return await self.following.ask_permit(request)
+        return await self.following.request_permit(request)
 
     def is_cold(self, instance: str) -> bool:
         """Tell whether a target counts as cold at this entry."""
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_leaving.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_leaving.py
@@ -64,12 +64,14 @@
             await wait_until(lambda k=known: k.epoch)
         told.leavers.record(told.table.get("i1"), tell_time())
         known = told.following._voters
-        await wait_until(lambda: all(v.leavers for v in known.values()))
+        await wait_until(
+            lambda: all(v.confirmed_leavers for v in known.values())
+        )
         before = {a: v.epoch for a, v in known.items()}
         await fleet.stop(address)
         await fleet.start(address)
         await wait_until(lambda: known[address].epoch != before[address])
-        await wait_until(lambda: known[address].leavers)
+        await wait_until(lambda: known[address].confirmed_leavers)
         assert fleet.voters[address].table.is_leaving("i1")
 
     play(test, tmp_path)
@@ -82,12 +84,12 @@
         voter.registry.announce(make("i1", heard=tell_time()))
         for follower in followers:
             await wait_until(lambda f=follower: f.table.get("i1"))
-        told, beat = followers[0], followers[0].following._beat
+        told, beat = followers[0], followers[0].following._send_beat
         told.stop_beats()
         told.leavers.record(told.table.get("i1"), tell_time())
         await wait_until(lambda: told.table.is_leaving("i1"))
         assert not followers[1].table.is_leaving("i1")
-        told.following._beat = beat
+        told.following._send_beat = beat
         await wait_until(lambda: all_know(followers))
 
     play(test, tmp_path)
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_limits.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_limits.py
@@ -109,7 +109,7 @@
     """Wait until a leader grants permits."""
     request = PermitRequest("spare", 0, rate=100.0)
     while True:
-        answer = await follower.following.ask_permit(request)
+        answer = await follower.following.request_permit(request)
         if answer is not None and answer.granted:
             return
         await asyncio.sleep(0.05)
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_pushes.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_pushes.py
@@ -7,7 +7,7 @@
 from chivepier.gateway.control.tests.fleet import Follower
 from chivepier.gateway.control.tests.fleet import play
 from chivepier.gateway.control.tests.fleet import wait_until
-from chivepier.gateway.following.following import BEAT_SECONDS
+from chivepier.gateway.following.voterclient import BEAT_SECONDS
 from chivepier.gateway.limits import RateLimit
 from chivepier.gateway.targets.tests.test_targettable import make
 from chivepier.standins.loopclock import tell_time
--- a/packages/gateway/src/chivepier/gateway/control/tests/test_quarantinerelay.py
+++ b/packages/gateway/src/chivepier/gateway/control/tests/test_quarantinerelay.py
@@ -122,16 +122,16 @@
         followers = await fleet.follow_many(1)
         await crash_three_targets(followers)
         following = followers[0].following
-        address = following.hub
+        address = following.followed_voter
         hub = fleet.voters[address].quarantine
         await wait_until(lambda: hub.ledger.suspects)
         # a pending answer would acknowledge the old ledger's records
         beat = await followers[0].finish_beats()
         hub.ledger = Ledger()
         state = following._voters[address]
-        state.epoch, state.confirmed = "before", 3
+        state.epoch, state.quarantine_confirmed = "before", 3
         await asyncio.gather(beat(address, state), beat(address, state))
-        following._beat = beat
+        following._send_beat = beat
         await wait_until(lambda: hub.ledger.suspects)
 
     play(test, tmp_path)
--- a/packages/gateway/src/chivepier/gateway/entry/entry.py
+++ b/packages/gateway/src/chivepier/gateway/entry/entry.py
@@ -6,11 +6,11 @@
 
 from chivepier.gateway.eventlog import EventLog
 from chivepier.gateway.following import Decode
-from chivepier.gateway.following import Following
 from chivepier.gateway.following import LimitExchange
 from chivepier.gateway.following import LoadExchange
 from chivepier.gateway.following import Peers
 from chivepier.gateway.following import QuarantineExchange
+from chivepier.gateway.following import VoterClient
 from chivepier.gateway.limits import BackoffTable
 from chivepier.gateway.limits import LimitTable
 from chivepier.gateway.limits import VersionedLimit
@@ -52,15 +52,15 @@
 
 # Seconds after the order to stop in which callers still come with an address
 # that they were given before.
-LINGER_SECONDS = 4.0
+LATE_CALLER_SECONDS = 4.0
 # Share of its last seconds after which an entry turns new requests away: what
 # it took later would be cut with its end.
-TAKING_SHARE = 2 / 3
+ACCEPT_FRACTION = 2 / 3
 # Seconds before the end of the grace at which the process ends by itself.
 # The machine may be slow, and a kill would reset what is just being sent.
-RESERVE_SECONDS = 0.7
+EXIT_MARGIN_SECONDS = 0.7
 # Seconds between two looks whether the last request has ended.
-LOOK_SECONDS = 0.1
+POLL_SECONDS = 0.1
 
 
 class Entry:
@@ -91,13 +91,13 @@
         self.state = ServingState()
         self.peers = Peers(settings.seeds)
         self.zones = Zones(settings.regions)
-        self.zones.watchers.append(self._note_order)
+        self.zones.watchers.append(self._handle_zone_order)
         self.table = TargetTable(settings.beat, self.zones)
         self.health = TargetHealth()
         self.board = LoadTracker(settings.name)
         self.queues = QueueTracker(settings.name, self.board.changed)
         self.limits = LimitTable(settings.name)
-        self.limits.watchers.append(self._note_limit)
+        self.limits.watchers.append(self._log_limit)
         self.rests = BackoffTable(rng)
         chooser = LoadBalancer(
             self.table,
@@ -114,7 +114,7 @@
             zones=self.zones,
             limits=self.limits,
             bound=ColdBound(settings.cold_excess, settings.cold_slack),
-            ask=self._ask_permit,
+            ask=self._request_permit,
             own=FallbackLimiter(rng),
             count_entries=lambda: self.state.entries,
             clock=clock,
@@ -131,7 +131,7 @@
             self.metrics,
         )
         leavers = LeavingTargets(self.table)
-        remarks = HeaderRecorder(
+        recorder = HeaderRecorder(
             self.limits,
             self.rests,
             leavers,
@@ -140,7 +140,7 @@
             log,
             self.metrics,
         )
-        calls = TargetCalls(port, gate, remarks)
+        calls = TargetCalls(port, gate, recorder)
         self.quarantine = Quarantine(
             settings.name,
             self.table,
@@ -163,9 +163,9 @@
         )
         self.table.watchers += [
             self.mover.handle_state_change,
-            self._note_target,
+            self._handle_state_change,
         ]
-        self.table.restart_watchers.append(self._note_restart)
+        self.table.restart_watchers.append(self._handle_restart)
         self.quarantine.watchers.append(self.mover.cancel_held_back)
         self._port = port
         self._links = Links(
@@ -181,7 +181,7 @@
             settings.repeat_window,
             settings.name,
         )
-        self.following = Following(
+        self.following = VoterClient(
             name=settings.name,
             address=settings.address,
             zone=settings.zone,
@@ -193,7 +193,7 @@
             loads=LoadExchange(
                 self.board, self.queues, budget, self.table, clock
             ),
-            suspects=QuarantineExchange(self.quarantine, clock),
+            quarantine=QuarantineExchange(self.quarantine, clock),
             limits=LimitExchange(self.limits, clock),
             leavers=leavers,
             freshness=freshness,
@@ -225,7 +225,7 @@
         await self._stack.enter_async_context(self.following)
         self._stack.push_async_callback(self.mover.close)
         self._stack.push_async_callback(self.quarantine.detector.close)
-        loading = asyncio.create_task(self.metrics.load_later())
+        loading = asyncio.create_task(self.metrics.load_after_delay())
         self._stack.callback(loading.cancel)
         watching = asyncio.create_task(self.mover.watch_silent_targets())
         self._stack.callback(watching.cancel)
@@ -238,25 +238,27 @@
     def _handle(self, message, channel):
         return self.following.handle(message, channel)
 
-    async def _ask_permit(self, request: PermitRequest) -> PermitAnswer | None:
-        return await self.following.ask_permit(request)
+    async def _request_permit(
+        self, request: PermitRequest
+    ) -> PermitAnswer | None:
+        return await self.following.request_permit(request)
 
-    def _note_limit(
-        self, word: VersionedLimit, before: VersionedLimit | None
+    def _log_limit(
+        self, limit: VersionedLimit, before: VersionedLimit | None
     ) -> None:
         self._log.info(
             "limit_known",
-            target=word.instance,
-            born=word.born,
-            rate=word.rate,
+            target=limit.instance,
+            born=limit.born,
+            rate=limit.rate,
             before=before.rate if before else None,
-            version=word.version,
-            source=word.source,
-            age_ms=round(1000 * (self._clock.monotonic() - word.seen)),
+            version=limit.version,
+            source=limit.source,
+            age_ms=round(1000 * (self._clock.monotonic() - limit.seen)),
         )
 
-    def _note_order(self, order: ZoneOrder) -> None:
-        self.metrics.note_zone(order.zone, order.evacuated)
+    def _handle_zone_order(self, order: ZoneOrder) -> None:
+        self.metrics.set_zone_evacuated(order.zone, order.evacuated)
         self._log.info(
             "evacuation_in_force",
             zone=order.zone,
@@ -265,22 +267,24 @@
             age_ms=round(1000 * (self._clock.monotonic() - order.since)),
         )
 
-    def _note_target(self, target: Target, before: TargetState | None) -> None:
+    def _handle_state_change(
+        self, target: Target, before: TargetState | None
+    ) -> None:
         if target.state is TargetState.GONE:
-            self._forget(target)
+            self._drop_target_state(target)
             self.rests.forget(target.instance, target.born)
 
-    def _forget(self, target: Target) -> None:
+    def _drop_target_state(self, target: Target) -> None:
         self.board.drop_remote(target.instance)
         self.health.forget(target.instance)
         self.limits.forget(target.instance, target.born)
 
-    def _note_restart(self, target: Target) -> None:
+    def _handle_restart(self, target: Target) -> None:
         self._log.info(
             "target_restarted", target=target.instance, born=target.born
         )
         self.mover.cancel_restarted(target)
-        self._forget(target)
+        self._drop_target_state(target)
         self.rests.end_incarnation(target.instance, target.born, target.heard)
         # what a kept connection leads to has ended: a request that may run
         # once only would be lost with it
@@ -293,16 +297,18 @@
         seconds and are served, later ones are told that nothing ran; streams
         go on as long as the grace allows.
         """
-        began = self._clock.monotonic()
+        started_at = self._clock.monotonic()
         self._log.info("leaving", active=self.serving.active)
         self.following.leave()
-        seconds = self._settings.grace - RESERVE_SECONDS
-        last = began + seconds
-        self.state.ends_at = last
-        linger = began + min(LINGER_SECONDS, TAKING_SHARE * seconds)
-        while (now := self._clock.monotonic()) < last:
-            self.state.stopping = now >= linger
+        seconds = self._settings.grace - EXIT_MARGIN_SECONDS
+        exit_at = started_at + seconds
+        self.state.ends_at = exit_at
+        late_callers_end = started_at + min(
+            LATE_CALLER_SECONDS, ACCEPT_FRACTION * seconds
+        )
+        while (now := self._clock.monotonic()) < exit_at:
+            self.state.stopping = now >= late_callers_end
             if self.state.stopping and not self.serving.active:
                 break
-            await self._clock.sleep(LOOK_SECONDS)
+            await self._clock.sleep(POLL_SECONDS)
         self._log.info("left", active=self.serving.active)
--- a/packages/gateway/src/chivepier/gateway/eventlog/eventlog.py
+++ b/packages/gateway/src/chivepier/gateway/eventlog/eventlog.py
@@ -9,11 +9,11 @@
 
 # Lines of one kind within a second; beyond that they are counted only. Ten
 # times what a busy entry decides, so that it bounds bursts and not days.
-LINES_A_SECOND = 100
+MAX_LINES_PER_SECOND = 100
 # Bytes that wait for a slow reader; more is dropped and counted.
-MOST_WAITING = 256 << 10
+MAX_BUFFERED_BYTES = 256 << 10
 # Failures are the last to be left out.
-RESERVED_FOR_FAILURES = 64 << 10
+WARNING_RESERVE_BYTES = 64 << 10
 
 
 class EventLog:
@@ -31,34 +31,36 @@
     def __init__(
         self,
         name: str,
-        handle: int = 1,
+        descriptor: int = 1,
         read_time: collections.abc.Callable[[], float] = time.time,
     ):
         self._read_time = read_time
         self._name = name
-        self._handle = handle
-        self._waiting: collections.deque[bytes] = collections.deque()
-        self._size = 0
+        self._descriptor = descriptor
+        self._buffer: collections.deque[bytes] = collections.deque()
+        self._buffered_bytes = 0
         self._counts: collections.Counter[str] = collections.Counter()
-        self._left_out: collections.Counter[str] = collections.Counter()
+        self._suppressed: collections.Counter[str] = collections.Counter()
         self._second = 0
-        os.set_blocking(handle, False)
+        os.set_blocking(descriptor, False)
 
     @property
-    def waiting(self) -> int:
+    def buffered_bytes(self) -> int:
         """Bytes that the reader has not taken yet."""
-        return self._size
+        return self._buffered_bytes
 
     def info(self, event: str, **fields: typing.Any) -> None:
         """Write a decision that went as usual."""
-        self._write("info", event, fields, MOST_WAITING)
+        self._write("info", event, fields, MAX_BUFFERED_BYTES)
 
     def warn(self, event: str, **fields: typing.Any) -> None:
         """Write a refusal or a failure."""
-        most = MOST_WAITING + RESERVED_FOR_FAILURES
-        self._write("warn", event, fields, most)
+        max_bytes = MAX_BUFFERED_BYTES + WARNING_RESERVE_BYTES
+        self._write("warn", event, fields, max_bytes)
 
-    def _write(self, level: str, event: str, fields: dict, most: int) -> None:
+    def _write(
+        self, level: str, event: str, fields: dict, max_bytes: int
+    ) -> None:
         now = self._read_time()
         if int(now) != self._second:
             self._begin_second(int(now))
@@ -66,8 +68,11 @@
         # also when this line is left out: a reader that goes on again would
         # else never get the rest
         self._flush()
-        if self._counts[event] > LINES_A_SECOND or self._size > most:
-            self._left_out[event] += 1
+        if (
+            self._counts[event] > MAX_LINES_PER_SECOND
+            or self._buffered_bytes > max_bytes
+        ):
+            self._suppressed[event] += 1
             return
         self._append(now, level, event, fields)
         self._flush()
@@ -75,10 +80,10 @@
     def _begin_second(self, second: int) -> None:
         self._second = second
         self._counts.clear()
-        if self._left_out:
-            left_out = dict(self._left_out)
-            self._left_out.clear()
-            self._append(second, "warn", "lines_left_out", left_out)
+        if self._suppressed:
+            suppressed = dict(self._suppressed)
+            self._suppressed.clear()
+            self._append(second, "warn", "lines_left_out", suppressed)
 
     def _append(
         self, now: float, level: str, event: str, fields: dict
@@ -93,23 +98,23 @@
             # a field of the writer's own names would hide who wrote the line
             line[f"{name}_" if name in line else name] = value
         data = json.dumps(line, separators=(",", ":"), default=str)
-        self._waiting.append(data.encode() + b"\n")
-        self._size += len(data) + 1
+        self._buffer.append(data.encode() + b"\n")
+        self._buffered_bytes += len(data) + 1
 
     def _flush(self) -> None:
-        while self._waiting:
-            data = self._waiting[0]
+        while self._buffer:
+            data = self._buffer[0]
             try:
-                written = os.write(self._handle, data)
+                written = os.write(self._descriptor, data)
             except BlockingIOError:
                 return
             except OSError:
                 # nobody reads any more: there is no one to tell
-                self._waiting.clear()
-                self._size = 0
+                self._buffer.clear()
+                self._buffered_bytes = 0
                 return
-            self._size -= written
+            self._buffered_bytes -= written
             if written < len(data):
-                self._waiting[0] = data[written:]
+                self._buffer[0] = data[written:]
                 return
-            self._waiting.popleft()
+            self._buffer.popleft()
--- a/packages/gateway/src/chivepier/gateway/following/configfetch.py
+++ b/packages/gateway/src/chivepier/gateway/following/configfetcher.py
@@ -17,14 +17,14 @@
 # configuration is asked. A change must be in force within some two seconds.
 ANSWER_SECONDS = 0.8
 # Least seconds between two fetches.
-LEAST_PAUSE = 0.1
+MIN_PAUSE_SECONDS = 0.1
 # An entry spends at most one part in so many of its time on configurations.
 PAUSE_FACTOR = 5
 
 Decode = collections.abc.Callable[[bytes], Configuration]
 
 
-class ConfigFetch:
+class ConfigFetcher:
     """Asks for the newest configuration, one fetch at a time.
 
     Voters tell the version only. Whole ones, each from every voter, would fill
@@ -51,46 +51,48 @@
         self._state = state
         self._clock = clock
         self._log = log
-        self._told: dict[str, int] = {}
-        self._news = asyncio.Event()
+        self._announced: dict[str, int] = {}
+        self._version_announced = asyncio.Event()
 
-    def note(self, address: str, version: int) -> None:
+    def record_version(self, address: str, version: int) -> None:
         """Take which version a voter holds.
 
         :param address: the voter's
         :param version: -1 when it holds none
         """
-        if version > self._held():
-            self._told[address] = version
-            self._news.set()
+        if version > self._find_current_version():
+            self._announced[address] = version
+            self._version_announced.set()
 
-    def _held(self) -> int:
+    def _find_current_version(self) -> int:
         index = self._state.index
         return index.version if index is not None else -1
 
     async def run(self) -> None:
         """Fetch what is newer, for as long as the node lives."""
         while True:
-            await self._news.wait()
-            self._news.clear()
-            while address := self._find_newest():
+            await self._version_announced.wait()
+            self._version_announced.clear()
+            while address := self._find_newest_holder():
                 answer = await self._fetch(address)
-                began = self._clock.monotonic()
+                started_at = self._clock.monotonic()
                 if answer is not None:
                     self._adopt(answer)
-                spent = self._clock.monotonic() - began
-                await self._clock.sleep(max(LEAST_PAUSE, PAUSE_FACTOR * spent))
-
-    def _find_newest(self) -> str | None:
-        held = self._held()
-        newer = {a: v for a, v in self._told.items() if v > held}
-        self._told = newer
+                duration = self._clock.monotonic() - started_at
+                await self._clock.sleep(
+                    max(MIN_PAUSE_SECONDS, PAUSE_FACTOR * duration)
+                )
+
+    def _find_newest_holder(self) -> str | None:
+        current = self._find_current_version()
+        newer = {a: v for a, v in self._announced.items() if v > current}
+        self._announced = newer
         return max(newer, key=newer.get) if newer else None
 
     async def _fetch(self, address: str) -> ConfigAnswer | None:
         # a voter that does not answer tells its version again with the next
         # beat; until then another one is asked
-        del self._told[address]
+        del self._announced[address]
         try:
             return await self._links.request(
                 address, ConfigRequest(False), ANSWER_SECONDS
@@ -100,7 +102,7 @@
             return None
 
     def _adopt(self, answer: ConfigAnswer) -> None:
-        if not answer.known or answer.version <= self._held():
+        if not answer.known or answer.version <= self._find_current_version():
             return
         try:
             index = RouteIndex(self._decode(answer.unpack()))
--- a/packages/gateway/src/chivepier/gateway/following/limitexchange.py
+++ b/packages/gateway/src/chivepier/gateway/following/limitexchange.py
@@ -2,7 +2,7 @@
 
 import collections.abc
 
-from chivepier.gateway.following.limitstanding import LimitStanding
+from chivepier.gateway.following.limitsyncstate import LimitSyncState
 from chivepier.gateway.limits import LimitTable
 from chivepier.gateway.limits import pack_limits
 from chivepier.gateway.limits import unpack_limits
@@ -28,46 +28,49 @@
     :param clock: monotonic time
     """
 
-    def __init__(self, board: LimitTable, clock: Clock):
+    def __init__(self, table: LimitTable, clock: Clock):
         self.changed = Signal()
-        self._board = board
+        self._table = table
         self._clock = clock
-        board.watchers.append(self._note_word)
+        table.watchers.append(self._handle_limit)
 
     @property
     def revision(self) -> int:
         """Of this entry's board; what a beat tells goes up to it."""
-        return self._board.revision
+        return self._table.revision
 
-    def _note_word(
-        self, word: VersionedLimit, before: VersionedLimit | None
+    def _handle_limit(
+        self, limit: VersionedLimit, before: VersionedLimit | None
     ) -> None:
         self.changed.set()
 
-    def find_untold(self, standing: LimitStanding) -> tuple[LimitRecord, ...]:
+    def find_unconfirmed(
+        self, sync: LimitSyncState
+    ) -> tuple[LimitRecord, ...]:
         """Return what a voter lacks."""
-        words = self._board.find_newer(
-            standing.told or 0, own_only=standing.told is not None
+        limits = self._table.find_newer(
+            sync.confirmed_revision or 0,
+            own_only=sync.confirmed_revision is not None,
         )
-        return pack_limits(words, self._clock.monotonic())
+        return pack_limits(limits, self._clock.monotonic())
 
     def take(self, records: tuple[LimitRecord, ...]) -> None:
         """Take what a voter tells."""
-        for word in unpack_limits(records, self._clock.monotonic()):
-            self._board.put(word)
+        for limit in unpack_limits(records, self._clock.monotonic()):
+            self._table.put(limit)
 
     def expire(self, targets: collections.abc.Iterable[Target]) -> None:
         """Drop what is believed of targets that are not known any more.
 
         :param targets: that are known
         """
-        self._board.expire(target.instance for target in targets)
+        self._table.expire(target.instance for target in targets)
 
-    def take_answer(
+    def handle_answer(
         self,
-        standing: LimitStanding,
+        sync: LimitSyncState,
         answer: EntryBeatAnswer,
-        told: int | None,
+        confirmed_revision: int | None,
     ) -> None:
         """Take a voter's answer to a beat.
 
@@ -76,6 +79,6 @@
         :param told: revision up to which it now has all that was told here;
             ``None`` where it started anew since the beat was composed
         """
-        standing.told = told
-        standing.held = answer.limits_revision
+        sync.confirmed_revision = confirmed_revision
+        sync.received_revision = answer.limits_revision
         self.take(answer.limits)
--- a/packages/gateway/src/chivepier/gateway/following/limitstanding.py
+++ b/packages/gateway/src/chivepier/gateway/following/limitsyncstate.py
@@ -4,7 +4,7 @@
 
 
 @attrs.define
-class LimitStanding:
+class LimitSyncState:
     """How far one voter and this entry have told each other.
 
     :param held: revision of the voter's board that this entry has
@@ -12,5 +12,5 @@
         where it may have nothing
     """
 
-    held: int = 0
-    told: int | None = None
+    received_revision: int = 0
+    confirmed_revision: int | None = None
--- a/packages/gateway/src/chivepier/gateway/following/loadexchange.py
+++ b/packages/gateway/src/chivepier/gateway/following/loadexchange.py
@@ -13,9 +13,9 @@
 from chivepier.types import Clock
 
 # Seconds for which load changes are gathered before they are sent.
-GATHER_SECONDS = 0.01
+BATCH_SECONDS = 0.01
 # Seconds between two full reports of this entry's loads.
-REPEAT_SECONDS = 1.0
+FULL_REPORT_SECONDS = 1.0
 
 Post = collections.abc.Callable[[LoadNotice], None]
 
@@ -43,9 +43,9 @@
         self._budget = budget
         self._table = table
         self._clock = clock
-        self._told: dict[str, LoadRecord] = {}
-        self._told_queues: dict[tuple[str, int], int] = {}
-        self._told_repeats: dict[str, int] = {}
+        self._sent_loads: dict[str, LoadRecord] = {}
+        self._sent_queues: dict[tuple[str, int], int] = {}
+        self._sent_loans: dict[str, int] = {}
 
     def merge(self, notice: LoadNotice) -> None:
         """Take what runs at the other entries.
@@ -62,11 +62,11 @@
             self._queues.put(queue, now)
         self._budget.update_peer_loans(notice.repeats, notice.whole, now)
 
-    def tell_anew(self) -> None:
+    def resend_all(self) -> None:
         """Tell everything again: another voter is followed now."""
-        self._told.clear()
-        self._told_queues.clear()
-        self._told_repeats.clear()
+        self._sent_loads.clear()
+        self._sent_queues.clear()
+        self._sent_loans.clear()
         self._board.changed.set()
 
     async def run(self, post: Post) -> None:
@@ -74,62 +74,62 @@
 
         :param post: sends to the voter that is followed
         """
-        repeated = 0.0
+        reported_at = 0.0
         while True:
-            await self._board.changed.wait(REPEAT_SECONDS)
-            await self._clock.sleep(GATHER_SECONDS)
+            await self._board.changed.wait(FULL_REPORT_SECONDS)
+            await self._clock.sleep(BATCH_SECONDS)
             now = self._clock.monotonic()
-            again = now - repeated >= REPEAT_SECONDS
-            if again:
-                repeated = now
+            full = now - reported_at >= FULL_REPORT_SECONDS
+            if full:
+                reported_at = now
                 self._table.expire(now)
             self._board.expire_avoiding(now)
             notice = LoadNotice(
-                self._find_loads(again),
-                self._find_queues(again),
+                self._collect_loads(full),
+                self._collect_queues(full),
                 False,
-                self._find_repeats(again, now),
+                self._collect_loans(full, now),
             )
             if notice.records or notice.queues or notice.repeats:
                 post(notice)
 
-    def _find_loads(self, again: bool) -> tuple[LoadRecord, ...]:
+    def _collect_loads(self, full: bool) -> tuple[LoadRecord, ...]:
         records = []
         for record in self._board.list_own():
             instance = record.instance
-            told = self._told.get(instance)
+            sent = self._sent_loads.get(instance)
             idle = not (
                 record.runs
                 or record.tokens
                 or record.copy_ms
                 or record.avoiding
             )
-            if again or told != record:
-                if not idle or told is not None:
+            if full or sent != record:
+                if not idle or sent is not None:
                     records.append(record)
-                self._told[instance] = record
+                self._sent_loads[instance] = record
                 if idle:
                     self._board.drop_own(instance)
-                    del self._told[instance]
+                    del self._sent_loads[instance]
         return tuple(records)
 
-    def _find_queues(self, again: bool) -> tuple[QueueRecord, ...]:
+    def _collect_queues(self, full: bool) -> tuple[QueueRecord, ...]:
         records = []
         for record in self._queues.list_own():
             key = (record.service, record.rank)
-            if again or self._told_queues.get(key) != record.waiting:
+            if full or self._sent_queues.get(key) != record.waiting:
                 records.append(record)
-            self._told_queues[key] = record.waiting
+            self._sent_queues[key] = record.waiting
         return tuple(records)
 
-    def _find_repeats(
-        self, again: bool, now: float
+    def _collect_loans(
+        self, full: bool, now: float
     ) -> tuple[RepeatRecord, ...]:
         records = []
         for record in self._budget.list_loans(now):
-            told = self._told_repeats.get(record.service, 0)
+            sent = self._sent_loans.get(record.service, 0)
             # loans are few: none is told until the first
-            if told != record.used or again and record.used:
+            if sent != record.used or full and record.used:
                 records.append(record)
-            self._told_repeats[record.service] = record.used
+            self._sent_loans[record.service] = record.used
         return tuple(records)
--- a/packages/gateway/src/chivepier/gateway/following/peers.py
+++ b/packages/gateway/src/chivepier/gateway/following/peers.py
@@ -15,7 +15,7 @@
         self._seeds = tuple(seeds)
         self._voters: tuple[str, ...] = ()
 
-    def use_seeds(self, seeds: collections.abc.Iterable[str]) -> None:
+    def update_seeds(self, seeds: collections.abc.Iterable[str]) -> None:
         """Take seeds from settings that have changed."""
         self._seeds = tuple(seeds)
 
--- a/packages/gateway/src/chivepier/gateway/following/quarantineexchange.py
+++ b/packages/gateway/src/chivepier/gateway/following/quarantineexchange.py
@@ -12,8 +12,8 @@
 
 # What this entry saw itself and keeps for voters that lack it: a voter that
 # starts anew is told all of it.
-MOST_OWN = 256
-NOTHING = QuarantineNotice()
+MAX_OWN_RECORDS = 256
+EMPTY_NOTICE = QuarantineNotice()
 
 
 class QuarantineExchange:
@@ -38,7 +38,7 @@
         self._quarantine = quarantine
         self._clock = clock
         self._own: collections.deque[Record] = collections.deque(
-            maxlen=MOST_OWN
+            maxlen=MAX_OWN_RECORDS
         )
         quarantine.publish = self._publish
 
@@ -57,7 +57,7 @@
         ledger = self._quarantine.ledger
         missing = min(self.count - (confirmed or 0), len(self._own))
         if confirmed is not None and not missing:
-            return NOTHING
+            return EMPTY_NOTICE
         records = list(self._own)[len(self._own) - missing :]
         if confirmed is None:
             for digest in ledger.suspects:
--- a/packages/gateway/src/chivepier/gateway/following/following.py
+++ b/packages/gateway/src/chivepier/gateway/following/voterclient.py
@@ -3,16 +3,16 @@
 import asyncio
 
 from chivepier.gateway.eventlog import EventLog
-from chivepier.gateway.following.configfetch import ConfigFetch
-from chivepier.gateway.following.configfetch import Decode
-from chivepier.gateway.following.followedvoter import FollowedVoter
-from chivepier.gateway.following.hubchoice import HubChoice
+from chivepier.gateway.following.configfetcher import ConfigFetcher
+from chivepier.gateway.following.configfetcher import Decode
 from chivepier.gateway.following.limitexchange import LimitExchange
 from chivepier.gateway.following.loadexchange import LoadExchange
 from chivepier.gateway.following.peers import Peers
 from chivepier.gateway.following.quarantineexchange import QuarantineExchange
 from chivepier.gateway.following.records import unpack_target
-from chivepier.gateway.following.voterstanding import VoterStanding
+from chivepier.gateway.following.voterlink import VoterLink
+from chivepier.gateway.following.voterselector import VoterSelector
+from chivepier.gateway.following.voterstatus import VoterStatus
 from chivepier.gateway.messages import ConfigNotice
 from chivepier.gateway.messages import EntryBeat
 from chivepier.gateway.messages import EntryBeatAnswer
@@ -45,10 +45,10 @@
 # Seconds to wait for a voter's answer, less than until its link is given up.
 ANSWER_SECONDS = 0.8
 # Seconds between two looks at which voters there are.
-LOOK_SECONDS = 0.2
+POLL_SECONDS = 0.2
 
 
-class Following:
+class VoterClient:
     """One link to each voter: news at once, and what was missed by beats.
 
     An entry that hears no voter goes on with what it knows. Its callers are
@@ -84,7 +84,7 @@
         state: ServingState,
         table: TargetTable,
         loads: LoadExchange,
-        suspects: QuarantineExchange,
+        quarantine: QuarantineExchange,
         limits: LimitExchange,
         leavers: LeavingTargets,
         freshness: Freshness,
@@ -96,39 +96,39 @@
         self._zone = zone
         self._peers = peers
         self._links = links
-        self._configs = ConfigFetch(links, decode, state, clock, log)
+        self._configs = ConfigFetcher(links, decode, state, clock, log)
         self._state = state
         self._table = table
         self._clock = clock
         self._log = log
-        self._voters: dict[str, FollowedVoter] = {}
-        self._hub = HubChoice(zone, clock)
+        self._voters: dict[str, VoterLink] = {}
+        self._selector = VoterSelector(zone, clock)
         self._loads = loads
-        self._suspects = suspects
+        self._quarantine = quarantine
         self._limits = limits
         self._leavers = leavers
         self._freshness = freshness
-        freshness.request_update = self._beat_all
-        self._orders = -1
+        freshness.request_update = self._start_beats
+        self._zone_order_index = -1
         self._tasks: list[asyncio.Task] = []
-        self._beats: set[asyncio.Task] = set()
+        self._beat_tasks: set[asyncio.Task] = set()
         self.leaving = False
 
-    async def __aenter__(self) -> "Following":
-        works = (
-            self._keep_voters(),
+    async def __aenter__(self) -> "VoterClient":
+        coroutines = (
+            self._update_links(),
             self._configs.run(),
             self._loads.run(self._post_loads),
-            self._report(self._suspects.changed),
-            self._report(self._limits.changed),
-            self._report(self._leavers.changed),
+            self._report_changes(self._quarantine.changed),
+            self._report_changes(self._limits.changed),
+            self._report_changes(self._leavers.changed),
         )
-        for work in works:
+        for work in coroutines:
             self._tasks.append(asyncio.create_task(work))
         return self
 
     async def __aexit__(self, *exc) -> None:
-        tasks = [*self._tasks, *self._beats]
+        tasks = [*self._tasks, *self._beat_tasks]
         tasks += [v.task for v in self._voters.values() if v.task]
         for task in tasks:
             task.cancel()
@@ -141,15 +141,15 @@
         return known and not self.leaving
 
     @property
-    def hub(self) -> str | None:
+    def followed_voter(self) -> str | None:
         """The voter that tells of the other entries."""
-        return self._hub.address
+        return self._selector.address
 
     def leave(self) -> None:
         """Tell every voter at once that callers should go elsewhere."""
         self.leaving = True
         for address, voter in self._voters.items():
-            self._beat_now(address, voter)
+            self._start_beat(address, voter)
 
     def handle(self, message, channel: Channel) -> None:
         """Take what a voter sends unasked.
@@ -159,63 +159,67 @@
         """
         match message:
             case TargetNotice(records=records):
-                self._merge(records)
+                self._merge_targets(records)
             case LoadNotice():
                 # one that was followed before may still tell of what it knew
-                if channel.peer == self._hub.address:
+                if channel.peer == self._selector.address:
                     self._loads.merge(message)
             case QuarantineNotice():
-                self._suspects.take(message)
+                self._quarantine.take(message)
             case LimitNotice(records=records):
                 self._limits.take(records)
             case ZoneNotice(records=records):
-                self._take_orders(records)
+                self._merge_zone_orders(records)
             case ConfigNotice(version=version):
-                self._configs.note(channel.peer, version)
+                self._configs.record_version(channel.peer, version)
             case other:
                 raise RefusedError(f"unexpected {type(other).__name__}")
 
-    async def _keep_voters(self) -> None:
+    async def _update_links(self) -> None:
         while True:
-            self._suspects.expire()
+            self._quarantine.expire()
             self._limits.expire(self._table)
             wanted = set(self._peers.all)
             for address in wanted - self._voters.keys():
-                voter = self._voters[address] = FollowedVoter()
-                voter.task = asyncio.create_task(self._follow(address, voter))
+                voter = self._voters[address] = VoterLink()
+                voter.task = asyncio.create_task(
+                    self._send_beats(address, voter)
+                )
             for address in self._voters.keys() - wanted:
                 voter = self._voters.pop(address)
                 voter.task.cancel()
-            await self._clock.sleep(LOOK_SECONDS)
+            await self._clock.sleep(POLL_SECONDS)
 
-    async def _follow(self, address: str, voter: FollowedVoter) -> None:
+    async def _send_beats(self, address: str, voter: VoterLink) -> None:
         while True:
-            await self._beat(address, voter)
+            await self._send_beat(address, voter)
             await self._clock.sleep(BEAT_SECONDS)
 
-    async def _report(self, changed: Signal) -> None:
+    async def _report_changes(self, changed: Signal) -> None:
         """Tell at once what this entry found out about targets."""
         while True:
             await changed.wait()
             for address, voter in self._voters.items():
                 if voter.alive:
-                    self._beat_now(address, voter)
+                    self._start_beat(address, voter)
 
-    def _beat_all(self) -> None:
+    def _start_beats(self) -> None:
         for address, voter in self._voters.items():
-            self._beat_now(address, voter)
+            self._start_beat(address, voter)
 
-    async def ask_permit(self, request: PermitRequest) -> PermitAnswer | None:
+    async def request_permit(
+        self, request: PermitRequest
+    ) -> PermitAnswer | None:
         """Ask for one send to a target that takes few.
 
         :param request: the question
         :returns: the answer; ``None`` where none came
         """
-        if self._hub.address is None:
+        if self._selector.address is None:
             return None
         try:
             answer = await self._links.request(
-                self._hub.address, request, request.permit_seconds
+                self._selector.address, request, request.permit_seconds
             )
         except LinkError as error:
             self._log.warn(
@@ -224,15 +228,15 @@
             return None
         return answer
 
-    def _beat_now(self, address: str, voter: FollowedVoter) -> None:
-        task = asyncio.create_task(self._beat(address, voter))
-        self._beats.add(task)
-        task.add_done_callback(self._beats.discard)
+    def _start_beat(self, address: str, voter: VoterLink) -> None:
+        task = asyncio.create_task(self._send_beat(address, voter))
+        self._beat_tasks.add(task)
+        task.add_done_callback(self._beat_tasks.discard)
 
-    async def _beat(self, address: str, voter: FollowedVoter) -> None:
+    async def _send_beat(self, address: str, voter: VoterLink) -> None:
         index = self._state.index
-        before, saw = voter.confirmed, self._suspects.count
-        unconfirmed = self._suspects.find_unconfirmed(before)
+        before, own_count = voter.quarantine_confirmed, self._quarantine.count
+        unconfirmed = self._quarantine.find_unconfirmed(before)
         leavers = frozenset(
             LeavingRecord(target.instance, target.born)
             for target in self._leavers.list_unconfirmed()
@@ -244,91 +248,93 @@
             self.ready,
             index.version if index else -1,
             voter.epoch,
-            voter.revision,
-            address == self._hub.address,
-            voter.held,
+            voter.targets_revision,
+            address == self._selector.address,
+            voter.quarantine_revision,
             unconfirmed.endings,
             unconfirmed.clearances,
-            self._orders,
-            voter.limits.held,
-            self._limits.find_untold(voter.limits),
-            tuple(leavers - voter.leavers),
+            self._zone_order_index,
+            voter.limits.received_revision,
+            self._limits.find_unconfirmed(voter.limits),
+            tuple(leavers - voter.confirmed_leavers),
         )
-        told, limits = voter.limits.told, self._limits.revision
+        told, limits = voter.limits.confirmed_revision, self._limits.revision
         try:
             answer = await self._links.request(address, beat, ANSWER_SECONDS)
         except LinkError as error:
-            self._note(address, voter, False, str(error))
+            self._set_alive(address, voter, False, str(error))
             return
-        self._note(address, voter, True, "")
+        self._set_alive(address, voter, True, "")
         # before what is sent by it: requests may wait for this word
-        self._take_orders(answer.orders)
-        self._take_presumed(answer.presumed)
+        self._merge_zone_orders(answer.orders)
+        self._presume_evacuations(answer.presumed)
         self._freshness.note_update()
-        self._take_suspects(voter, answer)
+        self._handle_quarantine(voter, answer)
         # a voter that started anew lacks what earlier beats told it: only a
         # beat that told everything counts then
-        knows = answer.epoch == beat.epoch or before is None
-        voter.confirmed = saw if knows else None
+        is_confirmed = answer.epoch == beat.epoch or before is None
+        voter.quarantine_confirmed = own_count if is_confirmed else None
         # one that started anew is told again with the next beat
-        voter.leavers = leavers if answer.epoch == beat.epoch else frozenset()
-        knows = answer.epoch == beat.epoch or told is None
-        self._limits.take_answer(
-            voter.limits, answer, limits if knows else None
+        voter.confirmed_leavers = (
+            leavers if answer.epoch == beat.epoch else frozenset()
+        )
+        is_confirmed = answer.epoch == beat.epoch or told is None
+        self._limits.handle_answer(
+            voter.limits, answer, limits if is_confirmed else None
         )
-        self._take(address, voter, answer)
+        self._handle_answer(address, voter, answer)
 
-    def _note(
-        self, address: str, voter: FollowedVoter, alive: bool, reason: str
+    def _set_alive(
+        self, address: str, voter: VoterLink, alive: bool, reason: str
     ) -> None:
         if voter.alive is alive:
             return
         voter.alive = alive
-        self._choose_hub()
+        self._select_voter()
         write = self._log.info if alive else self._log.warn
         write("voter_link", peer=address, alive=alive, reason=reason)
 
-    def _take(
-        self, address: str, voter: FollowedVoter, answer: EntryBeatAnswer
+    def _handle_answer(
+        self, address: str, voter: VoterLink, answer: EntryBeatAnswer
     ) -> None:
-        self._merge(answer.records)
+        self._merge_targets(answer.records)
         self._table.mark_alive(answer.live_targets, self._clock.monotonic())
-        voter.standing = VoterStanding(
+        voter.status = VoterStatus(
             answer.zone, answer.reachable_voters, answer.first_voter
         )
-        self._choose_hub()
-        voter.epoch, voter.revision = answer.epoch, answer.revision
+        self._select_voter()
+        voter.epoch, voter.targets_revision = answer.epoch, answer.revision
         self._state.entries = max(1, answer.entries)
         if answer.voters:
             self._peers.learn(answer.voters)
-        self._configs.note(address, answer.version)
+        self._configs.record_version(address, answer.version)
 
-    def _take_orders(self, records: tuple[ZoneRecord, ...]) -> None:
+    def _merge_zone_orders(self, records: tuple[ZoneRecord, ...]) -> None:
         now = self._clock.monotonic()
         zones = self._table.zones
         for record in records:
             zones.put(unpack_order(record, now))
         # what a voter tells holds all up to its newest
         newest = max((record.index for record in records), default=-1)
-        self._orders = max(self._orders, newest)
+        self._zone_order_index = max(self._zone_order_index, newest)
 
-    def _take_presumed(self, names: tuple[str, ...]) -> None:
+    def _presume_evacuations(self, names: tuple[str, ...]) -> None:
         until = self._clock.monotonic() + PRESUMPTION_TTL_SECONDS
         for zone in names:
             self._table.zones.presume(zone, until)
 
-    def _take_suspects(
-        self, voter: FollowedVoter, answer: EntryBeatAnswer
+    def _handle_quarantine(
+        self, voter: VoterLink, answer: EntryBeatAnswer
     ) -> None:
         notice = QuarantineNotice(answer.endings, answer.clearances)
-        self._suspects.take(notice)
-        voter.held = answer.quarantine_revision
+        self._quarantine.take(notice)
+        voter.quarantine_revision = answer.quarantine_revision
 
-    def _merge(self, records: tuple[TargetRecord, ...]) -> None:
+    def _merge_targets(self, records: tuple[TargetRecord, ...]) -> None:
         now = self._clock.monotonic()
         for record in records:
             try:
-                news = self._table.put(unpack_target(record, now))
+                is_new = self._table.put(unpack_target(record, now))
             except ValueError as error:
                 # a word of another release: without the others, and with the
                 # beats ended, this entry would hear of nothing any more
@@ -336,7 +342,7 @@
                     "target_unread", target=record.instance, error=str(error)
                 )
                 continue
-            if news:
+            if is_new:
                 self._log.info(
                     "target_known",
                     target=record.instance,
@@ -345,18 +351,20 @@
                     age=round(record.age, 3),
                 )
 
-    def _choose_hub(self) -> None:
-        before = self._hub.address
-        alive = {a: v.standing for a, v in self._voters.items() if v.alive}
-        if not self._hub.choose(alive):
+    def _select_voter(self) -> None:
+        before = self._selector.address
+        alive = {a: v.status for a, v in self._voters.items() if v.alive}
+        if not self._selector.choose(alive):
             return
-        self._log.info("hub_chosen", peer=self._hub.address, before=before)
-        self._loads.tell_anew()
-        for address in (before, self._hub.address):
+        self._log.info(
+            "hub_chosen", peer=self._selector.address, before=before
+        )
+        self._loads.resend_all()
+        for address in (before, self._selector.address):
             voter = self._voters.get(address)
             if voter is not None and voter.alive:
-                self._beat_now(address, voter)
+                self._start_beat(address, voter)
 
     def _post_loads(self, notice: LoadNotice) -> None:
-        if self._hub.address is not None:
-            self._links.post(self._hub.address, notice)
+        if self._selector.address is not None:
+            self._links.post(self._selector.address, notice)
--- a/packages/gateway/src/chivepier/gateway/following/followedvoter.py
+++ b/packages/gateway/src/chivepier/gateway/following/voterlink.py
@@ -4,13 +4,13 @@
 
 import attrs
 
-from chivepier.gateway.following.limitstanding import LimitStanding
-from chivepier.gateway.following.voterstanding import VoterStanding
+from chivepier.gateway.following.limitsyncstate import LimitSyncState
+from chivepier.gateway.following.voterstatus import VoterStatus
 from chivepier.gateway.messages import LeavingRecord
 
 
 @attrs.define
-class FollowedVoter:
+class VoterLink:
     """One voter, as an entry follows it.
 
     :param task: that speaks to it
@@ -26,10 +26,10 @@
 
     task: asyncio.Task | None = None
     epoch: str = ""
-    revision: int = 0
-    held: int = 0
-    confirmed: int | None = None
-    limits: LimitStanding = attrs.field(factory=LimitStanding)
-    leavers: frozenset[LeavingRecord] = frozenset()
+    targets_revision: int = 0
+    quarantine_revision: int = 0
+    quarantine_confirmed: int | None = None
+    limits: LimitSyncState = attrs.field(factory=LimitSyncState)
+    confirmed_leavers: frozenset[LeavingRecord] = frozenset()
     alive: bool = False
-    standing: VoterStanding = VoterStanding()
+    status: VoterStatus = VoterStatus()
--- a/packages/gateway/src/chivepier/gateway/following/hubchoice.py
+++ b/packages/gateway/src/chivepier/gateway/following/voterselector.py
@@ -2,15 +2,15 @@
 
 import collections.abc
 
-from chivepier.gateway.following.voterstanding import VoterStanding
+from chivepier.gateway.following.voterstatus import VoterStatus
 from chivepier.types import Clock
 
 # Seconds for which another voter must have stood better: voters notice one
 # that falls silent up to a beat after each other.
-PATIENCE_SECONDS = 0.7
+SWITCH_DELAY_SECONDS = 0.7
 
 
-class HubChoice:
+class VoterSelector:
     """Picks the voter that tells an entry what runs at the others.
 
     Voters tell each other what their entries run. Where voters are cut from
@@ -30,9 +30,7 @@
         self._worse_since: float | None = None
         self.address: str | None = None
 
-    def choose(
-        self, alive: collections.abc.Mapping[str, VoterStanding]
-    ) -> bool:
+    def choose(self, alive: collections.abc.Mapping[str, VoterStatus]) -> bool:
         """Look again, now that something is known anew.
 
         :param alive: the voters that answer, by address
@@ -49,7 +47,7 @@
         if self.address in alive:
             if self._worse_since is None:
                 self._worse_since = now
-            if now - self._worse_since < PATIENCE_SECONDS:
+            if now - self._worse_since < SWITCH_DELAY_SECONDS:
                 return False
         self._worse_since = None
         self.address = best
@@ -58,8 +56,13 @@
     def _rank(
         self,
         address: str,
-        alive: collections.abc.Mapping[str, VoterStanding],
+        alive: collections.abc.Mapping[str, VoterStatus],
     ) -> tuple[int, str, bool, str]:
-        standing = alive[address]
-        far = standing.zone != self._zone
-        return (-standing.hears, standing.group, far, address)
+        status = alive[address]
+        is_remote = status.zone != self._zone
+        return (
+            -status.reachable_voters,
+            status.first_voter,
+            is_remote,
+            address,
+        )
--- a/packages/gateway/src/chivepier/gateway/following/voterstanding.py
+++ b/packages/gateway/src/chivepier/gateway/following/voterstatus.py
@@ -4,7 +4,7 @@
 
 
 @attrs.frozen
-class VoterStanding:
+class VoterStatus:
     """What a voter last said of itself.
 
     :param zone: its availability zone
@@ -13,5 +13,5 @@
     """
 
     zone: str = ""
-    hears: int = 0
-    group: str = ""
+    reachable_voters: int = 0
+    first_voter: str = ""
--- a/packages/gateway/src/chivepier/gateway/metrics/metrics.py
+++ b/packages/gateway/src/chivepier/gateway/metrics/metrics.py
@@ -6,16 +6,16 @@
 
 # Teams that have series of their own; the others share one. Each has a
 # series for every class and bucket, and a scrape pays for all of them.
-MOST_TEAMS = 200
-OTHER = "other"
+MAX_TEAMS = 200
+OTHER_TEAM = "other"
 # Upper bounds in seconds: around the objectives of plain calls, first events,
 # pauses and whole streams.
 BUCKETS = (0.01, 0.03, 0.06, 0.1, 0.18, 0.3, 0.6, 1, 1.8, 3, 6, 15, 60)
 # Seconds after the start at which the library is loaded, as a restarted entry
 # should listen first.
-LOAD_SECONDS = 3.0
+LOAD_DELAY_SECONDS = 3.0
 # Observations that wait for it at most; the rest is counted as dropped.
-MOST_EARLY = 5_000
+MAX_BUFFERED_OBSERVATIONS = 5_000
 COUNTERS = (
     "requests",
     "moves",
@@ -32,22 +32,22 @@
     """Keeps observations until the metrics library is loaded, then feeds it.
 
     >>> metrics = Metrics()
-    >>> metrics.note_request("t1", "1", "answered", 0.05)
+    >>> metrics.record_request("t1", "1", "answered", 0.05)
     >>> metrics.load()
     >>> b'team="t1"' in metrics.render()
     True
     """
 
     def __init__(self) -> None:
-        self._early: collections.deque = collections.deque()
+        self._buffered: collections.deque = collections.deque()
         self._dropped = 0
         self._teams: set[str] = set()
         self._series: dict = {}
         self._registry = None
 
-    async def load_later(self) -> None:
+    async def load_after_delay(self) -> None:
         """Load the library once the start is over."""
-        await asyncio.sleep(LOAD_SECONDS)
+        await asyncio.sleep(LOAD_DELAY_SECONDS)
         self.load()
 
     def load(self) -> None:
@@ -59,9 +59,9 @@
         self._registry = library.CollectorRegistry()
         self._series = _make_series(library, self._registry)
         self._series["dropped"].inc(self._dropped)
-        while self._early:
-            name, labels, value = self._early.popleft()
-            self._feed(name, labels, value)
+        while self._buffered:
+            name, labels, value = self._buffered.popleft()
+            self._apply(name, labels, value)
 
     def render(self) -> bytes:
         """Return all series as text."""
@@ -70,7 +70,7 @@
         self.load()
         return library.generate_latest(self._registry)
 
-    def note_request(
+    def record_request(
         self, team: str, urgency: str, outcome: str, seconds: float
     ) -> None:
         """Count a request that has ended.
@@ -80,11 +80,11 @@
         :param outcome: ``answered`` or the kind of its failure
         :param seconds: from its arrival to its end
         """
-        labels = (self._bound(team), urgency)
-        self._note("requests", (*labels, outcome), 1.0)
-        self._note("seconds", labels, seconds)
+        labels = (self._limit_team(team), urgency)
+        self._record("requests", (*labels, outcome), 1.0)
+        self._record("seconds", labels, seconds)
 
-    def note_stream(
+    def record_stream(
         self, team: str, urgency: str, first: float, gap: float
     ) -> None:
         """Measure a stream that has ended.
@@ -94,76 +94,76 @@
         :param first: seconds to its first event
         :param gap: its longest pause, in seconds
         """
-        labels = (self._bound(team), urgency)
-        self._note("first", labels, first)
-        self._note("gap", labels, gap)
+        labels = (self._limit_team(team), urgency)
+        self._record("first", labels, first)
+        self._record("gap", labels, gap)
 
-    def note_move(self, outcome: str) -> None:
+    def record_move(self, outcome: str) -> None:
         """Count a copy of a live generation's memory."""
-        self._note("moves", (outcome,), 1.0)
+        self._record("moves", (outcome,), 1.0)
 
-    def note_quarantine(self, event: str) -> None:
+    def record_quarantine(self, event: str) -> None:
         """Count what was decided about a request that may end targets.
 
         :param event: ``suspected``, ``held``, ``refused``, ``cleared`` or
             ``released``
         """
-        self._note("quarantine", (event,), 1.0)
+        self._record("quarantine", (event,), 1.0)
 
-    def note_permit(self, kind: str, answer: str) -> None:
+    def record_permit(self, kind: str, answer: str) -> None:
         """Count an answer to the question for a send to a target.
 
         :param kind: ``cold`` or ``limit``, why the target takes few
         :param answer: ``granted``, ``refused``, ``late`` or ``unanswered``;
             without a leader ``own_part`` or ``refused_alone``
         """
-        self._note(f"{kind}_permits", (answer,), 1.0)
+        self._record(f"{kind}_permits", (answer,), 1.0)
 
-    def note_rest(self, service: str) -> None:
+    def record_backoff(self, service: str) -> None:
         """Count an answer whose target asks for rest.
 
         :param service: the target's
         """
-        self._note("rests", (service,), 1.0)
+        self._record("rests", (service,), 1.0)
 
-    def note_held_back(self, reason: str) -> None:
+    def record_held_back(self, reason: str) -> None:
         """Count what was not sent at the last moment.
 
         :param reason: ``rest``, ``leaving``, ``evacuated`` or ``permit``
         """
-        self._note("held_back", (reason,), 1.0)
+        self._record("held_back", (reason,), 1.0)
 
-    def note_unread_header(self, name: str) -> None:
+    def record_unknown_header(self, name: str) -> None:
         """Count a header of a target's answer that nothing reads.
 
         :param name: in lower case, of a bounded set
         """
-        self._note("unread", (name,), 1.0)
+        self._record("unread", (name,), 1.0)
 
-    def note_zone(self, zone: str, evacuated: bool) -> None:
+    def set_zone_evacuated(self, zone: str, evacuated: bool) -> None:
         """Set whether an availability zone is evacuated.
 
         :param zone: its name
         :param evacuated: whether nothing new is sent there
         """
-        self._note("zones", (zone,), float(evacuated))
+        self._record("zones", (zone,), float(evacuated))
 
-    def _bound(self, team: str) -> str:
+    def _limit_team(self, team: str) -> str:
         if team not in self._teams:
-            if len(self._teams) >= MOST_TEAMS:
-                return OTHER
+            if len(self._teams) >= MAX_TEAMS:
+                return OTHER_TEAM
             self._teams.add(team)
         return team
 
-    def _note(self, name: str, labels: tuple, value: float) -> None:
+    def _record(self, name: str, labels: tuple, value: float) -> None:
         if self._registry is not None:
-            self._feed(name, labels, value)
-        elif len(self._early) < MOST_EARLY:
-            self._early.append((name, labels, value))
+            self._apply(name, labels, value)
+        elif len(self._buffered) < MAX_BUFFERED_OBSERVATIONS:
+            self._buffered.append((name, labels, value))
         else:
             self._dropped += 1
 
-    def _feed(self, name: str, labels: tuple, value: float) -> None:
+    def _apply(self, name: str, labels: tuple, value: float) -> None:
         series = self._series[name].labels(*labels)
         if name in COUNTERS:
             series.inc(value)
@@ -174,18 +174,18 @@
 
 
 def _make_series(library, registry) -> dict:
-    owner = ("team", "class")
+    team_labels = ("team", "class")
 
     def histogram(name: str, text: str):
         return library.Histogram(
-            name, text, owner, buckets=BUCKETS, registry=registry
+            name, text, team_labels, buckets=BUCKETS, registry=registry
         )
 
     return {
         "requests": library.Counter(
             "chivepier_requests",
             "Requests that have ended.",
-            (*owner, "outcome"),
+            (*team_labels, "outcome"),
             registry=registry,
         ),
         "moves": library.Counter(
--- a/packages/gateway/src/chivepier/gateway/permits/sendlimiter.py
+++ b/packages/gateway/src/chivepier/gateway/permits/sendlimiter.py
@@ -230,7 +230,7 @@
 
     def _count(self, rate: float | None, answer: str) -> None:
         kind = "cold" if rate is None else "limit"
-        self._metrics.note_permit(kind, answer)
+        self._metrics.record_permit(kind, answer)
 
     def _read_answer(
         self, answer: PermitAnswer, rate: float | None, lapse: float
@@ -255,7 +255,7 @@
             self._log.warn("limits_kept_alone", entries=entries)
         now = self._clock.monotonic()
         turn = self._fallback.acquire(target.instance, rate, claim, now)
-        self._metrics.note_permit(
+        self._metrics.record_permit(
             "limit", "own_part" if turn.granted else "refused_alone"
         )
         if turn.granted:
--- a/packages/gateway/src/chivepier/gateway/quarantine/quarantine.py
+++ b/packages/gateway/src/chivepier/gateway/quarantine/quarantine.py
@@ -124,7 +124,7 @@
         :param hold: hold for which it was refused
         """
         now = self._clock.monotonic()
-        self._metrics.note_quarantine("refused")
+        self._metrics.record_quarantine("refused")
         self._log.warn(
             "request_held",
             id=identity,
@@ -183,7 +183,7 @@
         ending = Ending(request.digest, incarnation, request.at, self._me, how)
         if not self._add(ending):
             return
-        self._metrics.note_quarantine("suspected")
+        self._metrics.record_quarantine("suspected")
         self._log.warn(
             "target_ended_under",
             id=request.id,
@@ -199,7 +199,7 @@
     def _clear(self, digest: str, answered: float) -> None:
         clearance = Clearance(digest, answered, self._me)
         if self._add(clearance):
-            self._metrics.note_quarantine("cleared")
+            self._metrics.record_quarantine("cleared")
             self._log.info("suspect_cleared", digest=shorten(digest))
             self.publish(clearance)
 
@@ -213,7 +213,7 @@
         before = self._held
         self._held = held = self.ledger.find_held(self._clock.monotonic())
         for digest in held - before:
-            self._metrics.note_quarantine("held")
+            self._metrics.record_quarantine("held")
             ends = self.ledger.find_endings(digest)
             self._log.warn(
                 "suspect_held",
@@ -224,7 +224,7 @@
             for watcher in self.watchers:
                 watcher(digest)
         for digest in before - held:
-            self._metrics.note_quarantine("released")
+            self._metrics.record_quarantine("released")
             self._log.info(
                 "suspect_released", digest=shorten(digest), reason=reason
             )
--- a/packages/gateway/src/chivepier/gateway/serving/headerrecorder.py
+++ b/packages/gateway/src/chivepier/gateway/serving/headerrecorder.py
@@ -116,7 +116,7 @@
             case NoBackoff():
                 self._rests.note_answered(instance, born, now)
             case RequestedBackoff(seconds=seconds):
-                self._metrics.note_rest(target.service)
+                self._metrics.record_backoff(target.service)
                 if self._rests.add(instance, born, seconds, now):
                     pause = self._rests.find_delay(instance, born, now)
                     self._log.info(
@@ -139,7 +139,7 @@
             self._log.warn(
                 "header_unread", header=name, target=target.instance
             )
-        self._metrics.note_unread_header(name)
+        self._metrics.record_unknown_header(name)
 
 
 def describe_rest(rest: Backoff) -> float | None:
--- a/packages/gateway/src/chivepier/gateway/serving/mover.py
+++ b/packages/gateway/src/chivepier/gateway/serving/mover.py
@@ -348,7 +348,7 @@
         moved = await self._calls.move(
             source, run.request.id, target, last, COPY_TIMEOUT_SECONDS
         )
-        self._metrics.note_move(moved.outcome.value)
+        self._metrics.record_move(moved.outcome.value)
         self._log.info(
             "memory_copied",
             id=run.request.id,
--- a/packages/gateway/src/chivepier/gateway/serving/planner.py
+++ b/packages/gateway/src/chivepier/gateway/serving/planner.py
@@ -61,7 +61,7 @@
     def _find_team(
         self, index: RouteIndex, route: Route, request: CallerRequest
     ) -> Team | None:
-        if not index.asks_keys or route.public:
+        if not index.requires_key or route.public:
             return None
         team = index.find_team(request.key or "")
         if team is None:
--- a/packages/gateway/src/chivepier/gateway/serving/relay.py
+++ b/packages/gateway/src/chivepier/gateway/serving/relay.py
@@ -120,7 +120,7 @@
 
     def _record_timing(self) -> None:
         plan, timing = self._plan, self._timing
-        self._metrics.note_stream(
+        self._metrics.record_stream(
             plan.team or "",
             str(plan.urgency),
             timing.first_seconds,
--- a/packages/gateway/src/chivepier/gateway/serving/requesthandler.py
+++ b/packages/gateway/src/chivepier/gateway/serving/requesthandler.py
@@ -70,7 +70,7 @@
             self.active -= 1
             seconds = clock.monotonic() - request.arrived
             team, urgency = _get_class_labels(plan)
-            self._metrics.note_request(team, urgency, outcome, seconds)
+            self._metrics.record_request(team, urgency, outcome, seconds)
             write = log.info if outcome == "answered" else log.warn
             write(
                 "request_ended",
--- a/packages/gateway/src/chivepier/gateway/serving/sendgate.py
+++ b/packages/gateway/src/chivepier/gateway/serving/sendgate.py
@@ -102,7 +102,7 @@
         """
         reason = self._find_refusal_reason(target, purpose, permit)
         if reason is not None:
-            self._metrics.note_held_back(reason)
+            self._metrics.record_held_back(reason)
             raise NotPermittedError(reason)
 
     def _find_refusal_reason(
--- a/packages/gateway/src/chivepier/gateway/settings/__init__.py
+++ b/packages/gateway/src/chivepier/gateway/settings/__init__.py
@@ -1,7 +1,7 @@
 """What the programs are told at their start."""
 
+from chivepier.gateway.settings.entrysettings import DEFAULT_BODY_BYTES
 from chivepier.gateway.settings.entrysettings import EntrySettings
-from chivepier.gateway.settings.entrysettings import USUAL_BODY_BYTES
 from chivepier.gateway.settings.votersettings import VoterSettings
 
-__all__ = ["EntrySettings", "USUAL_BODY_BYTES", "VoterSettings"]
+__all__ = ["EntrySettings", "DEFAULT_BODY_BYTES", "VoterSettings"]
--- a/packages/gateway/src/chivepier/gateway/settings/entrysettings.py
+++ b/packages/gateway/src/chivepier/gateway/settings/entrysettings.py
@@ -7,7 +7,7 @@
 from chivepier.gateway.quarantine import Overrides
 
 # Of all bodies, where the memory of the instance isn't told.
-USUAL_BODY_BYTES = 32 << 20
+DEFAULT_BODY_BYTES = 32 << 20
 
 
 @attrs.frozen(kw_only=True)
@@ -41,7 +41,7 @@
     repeat_extra: float
     repeat_window: float
     grace: float
-    body_bytes: int = USUAL_BODY_BYTES
+    body_bytes: int = DEFAULT_BODY_BYTES
     orders: Overrides = Overrides()
     regions: collections.abc.Mapping[str, str] = attrs.Factory(dict)
     cold_excess: float = 1.0
--- a/tests/adapter/test_settings.py
+++ b/tests/adapter/test_settings.py
@@ -4,7 +4,7 @@
 
 from adapter.settingserror import SettingsError
 from adapter.settingsfile import SettingsFile
-from chivepier.gateway.settings import USUAL_BODY_BYTES
+from chivepier.gateway.settings import DEFAULT_BODY_BYTES
 
 LINES = {
     "node-name": "front-1",
@@ -42,7 +42,7 @@
 
 
 def test_bodies_take_a_part_of_the_memory_at_most():
-    assert make().make_entry().body_bytes == USUAL_BODY_BYTES
+    assert make().make_entry().body_bytes == DEFAULT_BODY_BYTES
     entry = make(**{"limits.memory-mb": "128"}).make_entry()
     assert entry.body_bytes == 16 << 20
 
