--- a/packages/gateway/src/chivepier/gateway/following/__init__.py
+++ b/packages/gateway/src/chivepier/gateway/following/__init__.py
@@ -1,4 +1,4 @@
-"""What entries and voters both need to know each other."""
+"""Synchronization of entries with the voters."""
 
 from chivepier.gateway.following.configfetcher import ConfigFetcher
 from chivepier.gateway.following.configfetcher import Decode
--- a/packages/gateway/src/chivepier/gateway/following/configfetcher.py
+++ b/packages/gateway/src/chivepier/gateway/following/configfetcher.py
@@ -13,29 +13,31 @@
 from chivepier.wire import LinkError
 from chivepier.wire import Links
 
-# Seconds to wait for one voter; then the next one that has told of a newer
-# configuration is asked. A change must be in force within some two seconds.
+# Seconds to wait for one voter; after that, the next voter that announced a
+# newer configuration is queried. Changes must take effect within about two
+# seconds.
 ANSWER_SECONDS = 0.8
-# Least seconds between two fetches.
+# Minimum seconds between two fetches.
 MIN_PAUSE_SECONDS = 0.1
-# An entry spends at most one part in so many of its time on configurations.
+# Pause after applying a configuration, as a multiple of the time it took;
+# bounds the share of time that an entry spends on configurations.
 PAUSE_FACTOR = 5
 
 Decode = collections.abc.Callable[[bytes], Configuration]
 
 
 class ConfigFetcher:
-    """Asks for the newest configuration, one fetch at a time.
+    """Fetches the newest configuration, one fetch at a time.
 
-    Voters tell the version only. Whole ones, each from every voter, would fill
-    the links that callers' answers need. Versions that are overtaken while a
-    fetch is under way are never fetched.
+    Voters announce the version only: pushing whole configurations from every
+    voter would fill the links needed for callers' answers. Versions that are
+    superseded during a fetch are never fetched.
 
-    :param links: to the voters
-    :param decode: reads a configuration as it was sent
-    :param state: is given each newer configuration
-    :param clock: monotonic time
-    :param log: what this process believes
+    :param links: links to the voters
+    :param decode: decodes a serialized configuration
+    :param state: receives each newer configuration
+    :param clock: source of monotonic time
+    :param log: event log of this process
     """
 
     def __init__(
@@ -55,10 +57,10 @@
         self._version_announced = asyncio.Event()
 
     def record_version(self, address: str, version: int) -> None:
-        """Take which version a voter holds.
+        """Record the configuration version that a voter has.
 
-        :param address: the voter's
-        :param version: -1 when it holds none
+        :param address: address of the voter
+        :param version: version of its configuration; -1 if it has none
         """
         if version > self._find_current_version():
             self._announced[address] = version
@@ -69,7 +71,7 @@
         return index.version if index is not None else -1
 
     async def run(self) -> None:
-        """Fetch what is newer, for as long as the node lives."""
+        """Fetch newer configurations until cancelled."""
         while True:
             await self._version_announced.wait()
             self._version_announced.clear()
@@ -90,8 +92,8 @@
         return max(newer, key=newer.get) if newer else None
 
     async def _fetch(self, address: str) -> ConfigAnswer | None:
-        # a voter that does not answer tells its version again with the next
-        # beat; until then another one is asked
+        # a voter that does not answer announces its version again with the
+        # next beat; until then another one is queried
         del self._announced[address]
         try:
             return await self._links.request(
@@ -107,8 +109,8 @@
         try:
             index = RouteIndex(self._decode(answer.unpack()))
         except Exception as error:
-            # whatever it raises: with this task ended, the entry would
-            # follow no change any more
+            # any exception would end this task, and the entry would get no
+            # further configurations
             self._log.warn(
                 "configuration_refused",
                 version=answer.version,
--- a/packages/gateway/src/chivepier/gateway/following/limitexchange.py
+++ b/packages/gateway/src/chivepier/gateway/following/limitexchange.py
@@ -1,4 +1,4 @@
-"""Telling which limits targets named here, and hearing of the others'."""
+"""Exchange of the rate limits that targets announced."""
 
 import collections.abc
 
@@ -15,17 +15,17 @@
 
 
 class LimitExchange:
-    """Keeps the limits that all entries know of alike.
+    """Synchronizes the rate limits known to all entries.
 
-    An entry tells every voter, at once and with each beat until that voter
-    has confirmed it; a voter tells its followers at once, and whoever else
-    beats. So any one voter that two entries both hear is enough for them. A
-    voter that started anew is told all that is known here.
+    An entry reports a limit to every voter, at once and with each beat until
+    that voter has confirmed it. A voter pushes it to its followers and returns
+    it in answers to beats of other entries, so one voter reachable from two
+    entries is enough. A restarted voter gets all limits known here.
 
-    :ivar changed: set when a target told this entry something new
+    :ivar changed: set when a limit known to this entry has changed
 
-    :param board: of this entry
-    :param clock: monotonic time
+    :param table: rate limits known to this entry
+    :param clock: source of monotonic time
     """
 
     def __init__(self, table: LimitTable, clock: Clock):
@@ -36,7 +36,7 @@
 
     @property
     def revision(self) -> int:
-        """Of this entry's board; what a beat tells goes up to it."""
+        """Revision of this entry's limits up to which a beat reports them."""
         return self._table.revision
 
     def _handle_limit(
@@ -47,7 +47,7 @@
     def find_unconfirmed(
         self, sync: LimitSyncState
     ) -> tuple[LimitRecord, ...]:
-        """Return what a voter lacks."""
+        """Return the limits that a voter has not confirmed."""
         limits = self._table.find_newer(
             sync.confirmed_revision or 0,
             own_only=sync.confirmed_revision is not None,
@@ -55,14 +55,14 @@
         return pack_limits(limits, self._clock.monotonic())
 
     def take(self, records: tuple[LimitRecord, ...]) -> None:
-        """Take what a voter tells."""
+        """Merge the limits sent by a voter."""
         for limit in unpack_limits(records, self._clock.monotonic()):
             self._table.put(limit)
 
     def expire(self, targets: collections.abc.Iterable[Target]) -> None:
-        """Drop what is believed of targets that are not known any more.
+        """Drop the limits of targets that are no longer known.
 
-        :param targets: that are known
+        :param targets: the known targets
         """
         self._table.expire(target.instance for target in targets)
 
@@ -72,12 +72,13 @@
         answer: EntryBeatAnswer,
         confirmed_revision: int | None,
     ) -> None:
-        """Take a voter's answer to a beat.
+        """Handle a voter's answer to a beat.
 
-        :param standing: of that voter
-        :param answer: its answer
-        :param told: revision up to which it now has all that was told here;
-            ``None`` where it started anew since the beat was composed
+        :param sync: synchronization state of that voter
+        :param answer: answer of the voter
+        :param confirmed_revision: revision up to which the voter now has
+            this entry's limits; ``None`` if it restarted since the beat was
+            composed
         """
         sync.confirmed_revision = confirmed_revision
         sync.received_revision = answer.limits_revision
--- a/packages/gateway/src/chivepier/gateway/following/limitsyncstate.py
+++ b/packages/gateway/src/chivepier/gateway/following/limitsyncstate.py
@@ -1,15 +1,16 @@
-"""How far limits were told to one voter."""
+"""How far rate limits are synchronized with one voter."""
 
 import attrs
 
 
 @attrs.define
 class LimitSyncState:
-    """How far one voter and this entry have told each other.
+    """Revisions of the rate limits exchanged with one voter.
 
-    :param held: revision of the voter's board that this entry has
-    :param told: revision of this entry's board that the voter has; ``None``
-        where it may have nothing
+    :param received_revision: revision of the voter's limits that this entry
+        has
+    :param confirmed_revision: revision of this entry's limits that the voter
+        has; ``None`` if it may have none
     """
 
     received_revision: int = 0
--- a/packages/gateway/src/chivepier/gateway/following/loadexchange.py
+++ b/packages/gateway/src/chivepier/gateway/following/loadexchange.py
@@ -1,4 +1,4 @@
-"""Telling what runs at an entry, and hearing what runs at the others."""
+"""Exchange of loads and queues between entries."""
 
 import collections.abc
 
@@ -12,7 +12,7 @@
 from chivepier.gateway.targets import TargetTable
 from chivepier.types import Clock
 
-# Seconds for which load changes are gathered before they are sent.
+# Seconds for which load changes are batched before they are sent.
 BATCH_SECONDS = 0.01
 # Seconds between two full reports of this entry's loads.
 FULL_REPORT_SECONDS = 1.0
@@ -21,13 +21,13 @@
 
 
 class LoadExchange:
-    """Keeps the boards of an entry up to date, and others' of it.
+    """Reports the loads of this entry, and merges those of the others.
 
-    :param board: what runs where
-    :param queues: what waits where
-    :param budget: repeats that entries share
-    :param table: the targets; forgets silent ones
-    :param clock: monotonic time
+    :param board: loads of the targets, over all entries
+    :param queues: waiting requests, over all entries
+    :param budget: retry budget shared by the entries
+    :param table: known targets; silent ones expire with each full report
+    :param clock: source of monotonic time
     """
 
     def __init__(
@@ -48,9 +48,9 @@
         self._sent_loans: dict[str, int] = {}
 
     def merge(self, notice: LoadNotice) -> None:
-        """Take what runs at the other entries.
+        """Merge the loads of the other entries.
 
-        :param notice: from the voter that this entry follows
+        :param notice: loads sent by the voter that this entry follows
         """
         now = self._clock.monotonic()
         if notice.whole:
@@ -63,16 +63,16 @@
         self._budget.update_peer_loans(notice.repeats, notice.whole, now)
 
     def resend_all(self) -> None:
-        """Tell everything again: another voter is followed now."""
+        """Report everything again after a switch to another voter."""
         self._sent_loads.clear()
         self._sent_queues.clear()
         self._sent_loans.clear()
         self._board.changed.set()
 
     async def run(self, post: Post) -> None:
-        """Tell what changes, for as long as the node lives.
+        """Report changes until cancelled.
 
-        :param post: sends to the voter that is followed
+        :param post: sends a notice to the followed voter
         """
         reported_at = 0.0
         while True:
@@ -128,7 +128,7 @@
         records = []
         for record in self._budget.list_loans(now):
             sent = self._sent_loans.get(record.service, 0)
-            # loans are few: none is told until the first
+            # loans are rare: zero is reported only to revoke an earlier one
             if sent != record.used or full and record.used:
                 records.append(record)
             self._sent_loans[record.service] = record.used
--- a/packages/gateway/src/chivepier/gateway/following/peers.py
+++ b/packages/gateway/src/chivepier/gateway/following/peers.py
@@ -1,14 +1,14 @@
-"""Which instances may be voters."""
+"""Addresses of instances that may be voters."""
 
 import collections.abc
 
 
 class Peers:
-    """Peer addresses from settings and from what other nodes tell.
+    """Peer addresses from the settings and from other nodes.
 
-    Seeds may be stale, and what was learned may be too: both are tried.
+    Both sources may be stale, so addresses from both are tried.
 
-    :param seeds: from the settings
+    :param seeds: peer addresses from the settings
     """
 
     def __init__(self, seeds: collections.abc.Iterable[str]):
@@ -16,19 +16,19 @@
         self._voters: tuple[str, ...] = ()
 
     def update_seeds(self, seeds: collections.abc.Iterable[str]) -> None:
-        """Take seeds from settings that have changed."""
+        """Replace the seeds after a change of the settings."""
         self._seeds = tuple(seeds)
 
     def learn(self, voters: collections.abc.Iterable[str]) -> None:
-        """Take the voters as another node knows them."""
+        """Replace the voters by those that another node knows, if any."""
         self._voters = tuple(voters) or self._voters
 
     @property
     def voters(self) -> tuple[str, ...]:
-        """The voters as last told; empty until then."""
+        """The voters last learned; empty if there were none."""
         return self._voters
 
     @property
     def all(self) -> tuple[str, ...]:
-        """Every address worth a try, voters first."""
+        """All addresses of possible voters, known voters first."""
         return tuple(dict.fromkeys((*self._voters, *self._seeds)))
--- a/packages/gateway/src/chivepier/gateway/following/quarantineexchange.py
+++ b/packages/gateway/src/chivepier/gateway/following/quarantineexchange.py
@@ -1,4 +1,4 @@
-"""Telling what ended targets here, and hearing what did elsewhere."""
+"""Exchange of records about requests that crashed targets."""
 
 import collections
 
@@ -10,26 +10,26 @@
 from chivepier.types import Clock
 from chivepier.types import Signal
 
-# What this entry saw itself and keeps for voters that lack it: a voter that
-# starts anew is told all of it.
+# Maximum number of own records kept for voters that lack them; a restarted
+# voter gets all of them.
 MAX_OWN_RECORDS = 256
 EMPTY_NOTICE = QuarantineNotice()
 
 
 class QuarantineExchange:
-    """Keeps the quarantines of all entries alike.
+    """Synchronizes the quarantines of all entries.
 
-    Each beat carries what its voter has not confirmed yet, so that neither a
-    lost message nor a voter that starts anew loses anything. What a voter
-    learns it pushes to its followers, and tells whoever else beats. An entry
-    hears every voter; so any one voter that both hear is enough for two
-    entries, and voters need not tell each other.
+    Each beat carries the records that its voter has not confirmed, so neither
+    a lost message nor a restarted voter loses any. A voter pushes new records
+    to its followers and returns them in answers to beats of other entries.
+    As an entry has a link to every voter, one voter reachable from two
+    entries is enough, and voters need not exchange records.
 
-    :ivar changed: set when this entry has seen something
-    :ivar count: how much it has seen
+    :ivar changed: set when this entry has added a record
+    :ivar count: number of records that this entry has added
 
-    :param quarantine: of this entry
-    :param clock: monotonic time
+    :param quarantine: quarantine of this entry
+    :param clock: source of monotonic time
     """
 
     def __init__(self, quarantine: Quarantine, clock: Clock):
@@ -48,11 +48,11 @@
         self.changed.set()
 
     def find_unconfirmed(self, confirmed: int | None) -> QuarantineNotice:
-        """Return what a voter lacks of what this entry saw.
+        """Return the records that a voter lacks.
 
-        :param confirmed: how many of its records the voter has; ``None``
-            where it started anew, and then it lacks the evidence against what
-            is held back, too, whoever saw it
+        :param confirmed: number of this entry's records that the voter has;
+            ``None`` if it restarted: it then also gets the evidence against
+            all suspects, whichever entry recorded it
         """
         ledger = self._quarantine.ledger
         missing = min(self.count - (confirmed or 0), len(self._own))
@@ -65,10 +65,10 @@
         return pack_records(records, self._clock.monotonic())
 
     def take(self, notice: QuarantineNotice) -> None:
-        """Take what a voter tells."""
+        """Merge the records sent by a voter."""
         now = self._clock.monotonic()
         self._quarantine.merge(unpack_records(notice, now))
 
     def expire(self) -> None:
-        """Drop what no longer counts."""
+        """Drop expired records."""
         self._quarantine.expire()
--- a/packages/gateway/src/chivepier/gateway/following/records.py
+++ b/packages/gateway/src/chivepier/gateway/following/records.py
@@ -1,4 +1,4 @@
-"""Targets as messages."""
+"""Conversion of targets to messages and back."""
 
 from chivepier.gateway.messages import TargetRecord
 from chivepier.gateway.targets import Target
@@ -6,9 +6,9 @@
 
 
 def pack_target(target: Target, now: float) -> TargetRecord:
-    """Turn a target into a message.
+    """Convert a target to a message.
 
-    :param target: as this node knows it
+    :param target: the target as this node knows it
     :param now: this node's monotonic seconds
     :returns: the message, with ages in place of times
     """
@@ -27,7 +27,7 @@
 
 
 def unpack_target(record: TargetRecord, now: float) -> Target:
-    """Build a target of a message.
+    """Convert a message to a target.
 
     :param record: the message
     :param now: this node's monotonic seconds
@@ -42,7 +42,7 @@
         number=record.number,
         slots=record.slots,
         heard=now - record.age,
-        # 0 is no moment: a warm target would seem to have become cold now
+        # 0 means warm; adding the clock would make the target look cold
         warm_at=now + record.warming if record.warming else 0.0,
         born=record.born,
     )
--- a/packages/gateway/src/chivepier/gateway/following/tests/test_configfetcher.py
+++ b/packages/gateway/src/chivepier/gateway/following/tests/test_configfetcher.py
@@ -1,4 +1,4 @@
-"""Tests of fetching configurations under a storm of changes."""
+"""Tests of fetching configurations during frequent changes."""
 
 import asyncio
 import os
@@ -14,7 +14,7 @@
 
 
 class FakeLinks:
-    """Voters that answer when the test says so."""
+    """Voters that answer once the test releases them."""
 
     def __init__(self) -> None:
         self.requested: list[str] = []
@@ -23,7 +23,7 @@
         self.release = asyncio.Event()
 
     async def request(self, address, message, timeout):
-        """Answer with the newest version at the moment of the answer."""
+        """Answer with the version that is newest when the answer is sent."""
         self.requested.append(address)
         if address in self.unreachable:
             raise LinkError("no answer", sent=True)
@@ -33,7 +33,7 @@
 
 
 class Setup:
-    """A fetch over fake voters."""
+    """A configuration fetcher with fake voters."""
 
     def __init__(self) -> None:
         self.links, self.clock = FakeLinks(), ManualClock()
@@ -44,13 +44,13 @@
         )
 
     def decode(self, body: bytes) -> Configuration:
-        """Read a version; 13 shows a fault of the reader."""
+        """Decode a version; 13 raises as a faulty decoder would."""
         if body == b"13":
             raise OverflowError
         return Configuration(version=int(body))
 
     def announce(self, version: int, *voters: str) -> None:
-        """Let voters tell a version."""
+        """Let voters announce a version."""
         self.links.version = version
         for voter in voters:
             self.fetcher.record_version(voter, version)
@@ -68,7 +68,7 @@
 
 
 def run_with_fetcher(test) -> None:
-    """Run a test's coroutine beside a running fetch."""
+    """Run a test's coroutine while the fetcher runs."""
 
     async def work():
         setup = Setup()
@@ -82,8 +82,8 @@
 
 
 def test_overtaken_versions_are_not_fetched():
-    # Configurations overtaken on their way filled the links of callers'
-    # answers.
+    # Guards against fetching superseded configurations, which filled the
+    # links needed for callers' answers.
     async def test(setup):
         for version in range(1, 31):
             setup.announce(version, "v1", "v2", "v3")
@@ -103,8 +103,8 @@
 
 
 def test_silent_voter_does_not_delay_a_change():
-    # The voter that tells first is frozen before it answers. Another one
-    # that has told is asked next, not the silent one again.
+    # The first voter to announce a version freezes before it answers. The
+    # fetcher must query another announcing voter next, not the silent one.
     async def test(setup):
         setup.links.unreachable = {"v1"}
         setup.links.release.set()
@@ -135,7 +135,8 @@
 
 
 def test_undecodable_configuration_does_not_end_fetching():
-    # One configuration that was not read ended the fetching of all later ones.
+    # Guards against a decoding error that ends the fetching of all later
+    # configurations.
     async def test(setup):
         setup.links.release.set()
         setup.announce(13, "v1")
--- a/packages/gateway/src/chivepier/gateway/following/tests/test_voterselector.py
+++ b/packages/gateway/src/chivepier/gateway/following/tests/test_voterselector.py
@@ -1,4 +1,4 @@
-"""Tests of which voter an entry follows."""
+"""Tests of selecting the voter that an entry follows."""
 
 from chivepier.gateway.following.voterselector import VoterSelector
 from chivepier.gateway.following.voterstatus import VoterStatus
@@ -6,7 +6,7 @@
 
 
 def make(**voters) -> dict[str, VoterStatus]:
-    """Make standings of zone, voters heard and the first of them."""
+    """Make statuses of zone, reachable voters and the first of them."""
     return {name: VoterStatus(*fields) for name, fields in voters.items()}
 
 
@@ -17,8 +17,8 @@
 
 
 def test_partitioned_voter_is_abandoned():
-    # Voters were cut from each other, two from one. Entries of the lone one's
-    # zone knew nothing of what the others ran: they go to the larger half.
+    # Two voters lose their links to the third. Entries in its zone would not
+    # know the loads of the others, so they must follow the larger half.
     clock = ManualClock()
     hub = VoterSelector("z1", clock)
     hub.choose(make(a=("z1", 3, "a"), b=("z2", 3, "a"), c=("z3", 3, "a")))
@@ -41,8 +41,8 @@
 
 
 def test_short_loss_of_reachability_does_not_switch_voters():
-    # A voter was killed; the others noticed it up to a beat apart, and each
-    # entry changed its voter twice in half a second.
+    # The other voters detect a killed one up to a beat apart. Without a delay
+    # each entry switched its voter twice in half a second.
     clock = ManualClock()
     hub = VoterSelector("z1", clock)
     hub.choose(make(a=("z1", 3, "a"), b=("z2", 3, "a")))
--- a/packages/gateway/src/chivepier/gateway/following/voterclient.py
+++ b/packages/gateway/src/chivepier/gateway/following/voterclient.py
@@ -1,4 +1,4 @@
-"""How an entry follows the voters."""
+"""An entry's client of the voters."""
 
 import asyncio
 
@@ -39,37 +39,38 @@
 from chivepier.wire import Links
 from chivepier.wire import RefusedError
 
-# Seconds between an entry's words to each voter; several fit into the time
-# after which voters leave it out.
+# Seconds between an entry's beats to each voter; several fit into the time
+# after which voters consider the entry gone.
 BEAT_SECONDS = 0.3
-# Seconds to wait for a voter's answer, less than until its link is given up.
+# Seconds to wait for a voter's answer; shorter than the timeout of its link.
 ANSWER_SECONDS = 0.8
-# Seconds between two looks at which voters there are.
+# Seconds between two checks of the list of voters.
 POLL_SECONDS = 0.2
 
 
 class VoterClient:
-    """One link to each voter: news at once, and what was missed by beats.
+    """Keeps a link to each voter: changes are pushed, beats repair gaps.
 
-    An entry that hears no voter goes on with what it knows. Its callers are
-    better served by a configuration that may be some seconds old than not
-    at all, and a voter that can't hear it gives its address to no one.
+    An entry that reaches no voter continues with its last known state:
+    serving callers with a configuration some seconds old is better than not
+    serving them, and a voter that can't reach the entry gives its address
+    to no caller.
 
-    :param name: this entry's
-    :param address: where callers reach it
+    :param name: name of this entry
+    :param address: address at which callers reach it
     :param zone: its availability zone
-    :param peers: where voters may be
-    :param cluster_key: that peers show each other
-    :param decode: reads a configuration as it was sent
-    :param state: is given each newer configuration
-    :param table: is given the targets
-    :param loads: tells what runs here, and is told what runs elsewhere
-    :param suspects: the same for requests that end targets
-    :param limits: the same for limits that targets name
-    :param leavers: targets whose answers said that they leave
-    :param freshness: is told of each word of a voter
-    :param clock: monotonic time
-    :param log: what this process believes
+    :param peers: addresses of possible voters
+    :param links: links to the voters
+    :param decode: decodes a serialized configuration
+    :param state: receives each newer configuration
+    :param table: receives the targets
+    :param loads: exchanges the loads of the entries
+    :param quarantine: exchanges records of requests that crashed targets
+    :param limits: exchanges the rate limits that targets announced
+    :param leavers: targets that announced in a response that they leave
+    :param freshness: is notified of each answer of a voter
+    :param clock: source of monotonic time
+    :param log: event log of this process
     """
 
     def __init__(
@@ -142,26 +143,26 @@
 
     @property
     def followed_voter(self) -> str | None:
-        """The voter that tells of the other entries."""
+        """Address of the voter that sends the loads of other entries."""
         return self._selector.address
 
     def leave(self) -> None:
-        """Tell every voter at once that callers should go elsewhere."""
+        """Notify every voter at once that this entry is leaving."""
         self.leaving = True
         for address, voter in self._voters.items():
             self._start_beat(address, voter)
 
     def handle(self, message, channel: Channel) -> None:
-        """Take what a voter sends unasked.
+        """Handle a message pushed by a voter.
 
-        :param message: news
-        :param channel: its link
+        :param message: the message
+        :param channel: link that it came over
         """
         match message:
             case TargetNotice(records=records):
                 self._merge_targets(records)
             case LoadNotice():
-                # one that was followed before may still tell of what it knew
+                # a voter followed before may still push outdated loads
                 if channel.peer == self._selector.address:
                     self._loads.merge(message)
             case QuarantineNotice():
@@ -196,7 +197,7 @@
             await self._clock.sleep(BEAT_SECONDS)
 
     async def _report_changes(self, changed: Signal) -> None:
-        """Tell at once what this entry found out about targets."""
+        """Send a beat to each reachable voter as soon as there are changes."""
         while True:
             await changed.wait()
             for address, voter in self._voters.items():
@@ -210,10 +211,10 @@
     async def request_permit(
         self, request: PermitRequest
     ) -> PermitAnswer | None:
-        """Ask for one send to a target that takes few.
+        """Request a permit for one send to a cold or rate-limited target.
 
-        :param request: the question
-        :returns: the answer; ``None`` where none came
+        :param request: the request for the permit
+        :returns: the answer; ``None`` if there was none
         """
         if self._selector.address is None:
             return None
@@ -265,16 +266,16 @@
             self._set_alive(address, voter, False, str(error))
             return
         self._set_alive(address, voter, True, "")
-        # before what is sent by it: requests may wait for this word
+        # before notifying waiting requests, which must see these zone orders
         self._merge_zone_orders(answer.orders)
         self._presume_evacuations(answer.presumed)
         self._freshness.note_update()
         self._handle_quarantine(voter, answer)
-        # a voter that started anew lacks what earlier beats told it: only a
-        # beat that told everything counts then
+        # a restarted voter lacks the records of earlier beats: its answer
+        # confirms a beat only if that beat carried everything
         is_confirmed = answer.epoch == beat.epoch or before is None
         voter.quarantine_confirmed = own_count if is_confirmed else None
-        # one that started anew is told again with the next beat
+        # a restarted voter gets them again with the next beat
         voter.confirmed_leavers = (
             leavers if answer.epoch == beat.epoch else frozenset()
         )
@@ -314,7 +315,7 @@
         zones = self._table.zones
         for record in records:
             zones.put(unpack_order(record, now))
-        # what a voter tells holds all up to its newest
+        # a voter sends all orders up to its newest one
         newest = max((record.index for record in records), default=-1)
         self._zone_order_index = max(self._zone_order_index, newest)
 
@@ -336,8 +337,8 @@
             try:
                 is_new = self._table.put(unpack_target(record, now))
             except ValueError as error:
-                # a word of another release: without the others, and with the
-                # beats ended, this entry would hear of nothing any more
+                # a value of another release: raising here would skip the
+                # other targets and end the beats to this voter
                 self._log.warn(
                     "target_unread", target=record.instance, error=str(error)
                 )
--- a/packages/gateway/src/chivepier/gateway/following/voterlink.py
+++ b/packages/gateway/src/chivepier/gateway/following/voterlink.py
@@ -1,4 +1,4 @@
-"""How far an entry and one voter have told each other."""
+"""The state of an entry's link to one voter."""
 
 import asyncio
 
@@ -11,17 +11,19 @@
 
 @attrs.define
 class VoterLink:
-    """One voter, as an entry follows it.
+    """Synchronization state of an entry with one voter.
 
-    :param task: that speaks to it
-    :param epoch: which start of the voter this is about
-    :param revision: of its targets, up to which this entry has all
-    :param held: the same of its quarantine
-    :param confirmed: what of this entry's quarantine it has
-    :param limits: how far limits were told
-    :param leavers: targets that leave, of which it was told
-    :param alive: whether it answered last
-    :param standing: what it says of itself
+    :param task: task that sends beats to the voter
+    :param epoch: identifies the run of the voter that this state belongs to
+    :param targets_revision: revision of its targets up to which this entry
+        has all changes
+    :param quarantine_revision: the same for its quarantine
+    :param quarantine_confirmed: number of this entry's quarantine records
+        that the voter has; ``None`` if it may have none
+    :param limits: synchronization state of the rate limits
+    :param confirmed_leavers: leaving targets reported to the voter
+    :param alive: whether it answered the last beat
+    :param status: what it last reported about itself
     """
 
     task: asyncio.Task | None = None
--- a/packages/gateway/src/chivepier/gateway/following/voterselector.py
+++ b/packages/gateway/src/chivepier/gateway/following/voterselector.py
@@ -1,27 +1,26 @@
-"""Which voter an entry follows."""
+"""Selection of the voter that an entry follows."""
 
 import collections.abc
 
 from chivepier.gateway.following.voterstatus import VoterStatus
 from chivepier.types import Clock
 
-# Seconds for which another voter must have stood better: voters notice one
-# that falls silent up to a beat after each other.
+# Seconds for which another voter must rank higher before it is followed:
+# voters detect a silent peer up to a beat apart.
 SWITCH_DELAY_SECONDS = 0.7
 
 
 class VoterSelector:
-    """Picks the voter that tells an entry what runs at the others.
+    """Selects the voter that sends an entry the loads of other entries.
 
-    Voters tell each other what their entries run. Where voters are cut from
-    each other, entries that follow different halves would know of half of
-    what runs, fill targets twice, and copy off a leaving one at the same
-    time. So an entry goes to the voters that hear most others, and where two
-    halves are of a size, to that of the lowest address; within them to the
-    one in its own availability zone.
+    Voters exchange the loads of their entries. If the voters are partitioned,
+    entries that follow different halves would each know half of the load,
+    overload targets, and copy off a leaving target at the same time. So an
+    entry prefers the voters that reach most others, then the group with the
+    lowest address, and within it a voter in its own availability zone.
 
-    :param zone: the entry's availability zone
-    :param clock: monotonic time
+    :param zone: availability zone of the entry
+    :param clock: source of monotonic time
     """
 
     def __init__(self, zone: str, clock: Clock):
@@ -31,13 +30,13 @@
         self.address: str | None = None
 
     def choose(self, alive: collections.abc.Mapping[str, VoterStatus]) -> bool:
-        """Look again, now that something is known anew.
+        """Select the voter to follow after a change of their status.
 
-        :param alive: the voters that answer, by address
-        :returns: whether another one is followed now
+        :param alive: status of the voters that answer, by address
+        :returns: whether the followed voter has changed
         """
         if not alive:
-            # what was followed may come back; nobody else can tell more
+            # keep the followed voter, which may recover: no other one answers
             return False
         best = min(alive, key=lambda address: self._rank(address, alive))
         if best == self.address:
--- a/packages/gateway/src/chivepier/gateway/following/voterstatus.py
+++ b/packages/gateway/src/chivepier/gateway/following/voterstatus.py
@@ -1,15 +1,15 @@
-"""How well a voter is placed to tell an entry of the others."""
+"""What a voter reports about its reachability."""
 
 import attrs
 
 
 @attrs.frozen
 class VoterStatus:
-    """What a voter last said of itself.
+    """The status that a voter last reported.
 
-    :param zone: its availability zone
-    :param hears: how many voters it hears, itself included
-    :param group: the first of these by address
+    :param zone: availability zone of the voter
+    :param reachable_voters: number of voters it can reach, including itself
+    :param first_voter: lowest address among these
     """
 
     zone: str = ""
