--- a/packages/gateway/src/chivepier/gateway/config/__init__.py
+++ b/packages/gateway/src/chivepier/gateway/config/__init__.py
@@ -1,4 +1,4 @@
-"""What an operator wants served, as one whole configuration."""
+"""The operator's configuration of routes, services and teams."""
 
 from chivepier.gateway.config.configuration import Configuration
 from chivepier.gateway.config.configurationerror import ConfigurationError
--- a/packages/gateway/src/chivepier/gateway/config/configuration.py
+++ b/packages/gateway/src/chivepier/gateway/config/configuration.py
@@ -1,4 +1,4 @@
-"""A whole configuration under the operator's own version."""
+"""A complete configuration with the operator's version number."""
 
 import attrs
 
@@ -11,9 +11,14 @@
 
 @attrs.frozen(kw_only=True)
 class Configuration:
-    """Everything that is to be in force at once.
+    """A configuration, which takes effect as a whole.
 
-    :param version: the operator's; the highest one that was accepted counts
+    :param version: version number given by the operator; the highest accepted
+        one is in force
+    :param routes: rules that map requests to services
+    :param services: groups of targets
+    :param teams: teams and their keys
+    :param limits: limits on callers' connections
     """
 
     version: int
@@ -23,9 +28,9 @@
     limits: Limits = Limits()
 
     def check(self) -> None:
-        """Find contradictions between the parts.
+        """Check that the parts are valid and consistent.
 
-        :raises ConfigurationError: naming the first one found
+        :raises ConfigurationError: describes the first problem found
         """
         names = {service.name for service in self.services}
         if len(names) < len(self.services):
--- a/packages/gateway/src/chivepier/gateway/config/configurationerror.py
+++ b/packages/gateway/src/chivepier/gateway/config/configurationerror.py
@@ -1,8 +1,9 @@
-"""The error of a configuration that can't be taken."""
+"""The error raised for an invalid configuration."""
 
 
 class ConfigurationError(ValueError):
-    """A configuration that is malformed or contradicts itself.
+    """Raised for a malformed or inconsistent configuration.
 
-    Whoever sent it is told which part, and nothing changes.
+    The message names the invalid part to the sender; the configuration in
+    force stays.
     """
--- a/packages/gateway/src/chivepier/gateway/config/engine.py
+++ b/packages/gateway/src/chivepier/gateway/config/engine.py
@@ -1,20 +1,20 @@
-"""What a model-serving target can do."""
+"""Capabilities of model-serving targets."""
 
 import attrs
 
 
 @attrs.frozen(kw_only=True)
 class Engine:
-    """Limits of the targets of one service that run generations.
+    """Capacity and features of the targets of a service for generations.
 
-    :param slots: requests that one target runs at once
-    :param memory_tokens: tokens that one target's memory holds
-    :param event_tokens: tokens in one event of a stream
-    :param moves: whether a live generation's memory can be moved
-    :param reserve_seconds: how long room can be reserved before a request is
-        sent, in seconds; 0 where it can't
-    :param token_seconds: to copy the memory of one token to another target
-        of the same availability zone, in seconds
+    :param slots: maximum number of concurrent requests on one target
+    :param memory_tokens: number of tokens that fit into one target's memory
+    :param event_tokens: number of tokens in one event of a stream
+    :param moves: whether the memory of a running generation can be moved
+    :param reserve_seconds: seconds for which capacity can be reserved before
+        a request is sent; 0 if targets support no reservations
+    :param token_seconds: seconds to copy the memory of one token to another
+        target in the same availability zone
     """
 
     slots: int
--- a/packages/gateway/src/chivepier/gateway/config/limits.py
+++ b/packages/gateway/src/chivepier/gateway/config/limits.py
@@ -1,16 +1,16 @@
-"""What a caller may send."""
+"""Limits on callers' connections."""
 
 import attrs
 
 
 @attrs.frozen(kw_only=True)
 class Limits:
-    """Bounds on a caller's connection.
+    """Size and time limits of a caller's connection.
 
-    :param header_bytes: of one request's head
-    :param body_bytes: of one request's body
-    :param header_seconds: for the head to arrive
-    :param idle_seconds: for which a connection may stay unused
+    :param header_bytes: maximum size of a request's head, in bytes
+    :param body_bytes: maximum size of a request's body, in bytes
+    :param header_seconds: maximum seconds until the head has arrived
+    :param idle_seconds: maximum seconds for which a connection may be idle
     """
 
     header_bytes: int = 16384
--- a/packages/gateway/src/chivepier/gateway/config/repetition.py
+++ b/packages/gateway/src/chivepier/gateway/config/repetition.py
@@ -1,10 +1,10 @@
-"""Whether a request may run more than once."""
+"""Rules for retrying requests."""
 
 import enum
 
 
 class Repetition(enum.Enum):
-    """What may be done with a request whose outcome is unknown."""
+    """Whether a request with an unknown outcome is retried or resumed."""
 
     IDEMPOTENT = "idempotent"
     ONCE = "once"
--- a/packages/gateway/src/chivepier/gateway/config/route.py
+++ b/packages/gateway/src/chivepier/gateway/config/route.py
@@ -1,4 +1,4 @@
-"""Which requests go where, and how."""
+"""Rules that map requests to services."""
 
 import attrs
 
@@ -7,21 +7,21 @@
 
 @attrs.frozen(kw_only=True)
 class Route:
-    """One rule of the operator.
+    """Maps requests of a host and path prefix to services.
 
-    :param name: the operator's name for it
-    :param host: of the request, without a port
-    :param prefix: of the path, beginning and ending with a slash
-    :param pools: service names and their weights, which add up to over 0
-    :param streaming: whether answers are series of events
-    :param repetition: what may run more than once
-    :param attempts: targets that one request may run on, at most
-    :param timeout: seconds that a caller is kept waiting, at most
-    :param objective: seconds to the answer or its first event
-    :param gap_objective: longest pause between events, in seconds
-    :param urgency: 0 is the most urgent
-    :param public: whether no key is asked for
-    :param regions: that its requests may reach; ``None`` for all
+    :param name: name given by the operator
+    :param host: host of the requests, without a port
+    :param prefix: prefix of the path; begins and ends with a slash
+    :param pools: names of services and their weights, with a sum above 0
+    :param streaming: whether answers are streams of events
+    :param repetition: whether requests may run more than once
+    :param attempts: maximum number of targets that one request may run on
+    :param timeout: maximum seconds that a caller waits
+    :param objective: intended maximum seconds to the answer or its first event
+    :param gap_objective: intended maximum pause between events, in seconds
+    :param urgency: urgency class; 0 is the most urgent
+    :param public: whether requests need no key
+    :param regions: regions that its requests may reach; ``None`` for all
     """
 
     name: str
--- a/packages/gateway/src/chivepier/gateway/config/routeindex.py
+++ b/packages/gateway/src/chivepier/gateway/config/routeindex.py
@@ -1,4 +1,4 @@
-"""Finding the route and the team of a request."""
+"""Look-up of the route and the team of a request."""
 
 from chivepier.gateway.config.configuration import Configuration
 from chivepier.gateway.config.route import Route
@@ -7,10 +7,12 @@
 
 
 class RouteIndex:
-    """One configuration, arranged for look-ups.
+    """Indexes a configuration by host, path prefix and key.
 
-    A path is cut at its slashes, longest part first, so that the cost of a
-    look-up grows with the path and not with the number of routes.
+    Prefixes of a path that end at a slash are looked up, longest first, so
+    the cost grows with the length of the path, not the number of routes.
+
+    :param configuration: the configuration to index
 
     >>> from chivepier.gateway.config import Configuration
     >>> RouteIndex(Configuration(version=1)).find_route("a.example", "/x/")
@@ -34,9 +36,9 @@
     def find_route(self, host: str, path: str) -> Route | None:
         """Find the route with the longest prefix.
 
-        :param host: the request's, with or without a port
-        :param path: without a query
-        :returns: the route, if any
+        :param host: host of the request, with or without a port
+        :param path: path of the request, without the query
+        :returns: the route; ``None`` if none matches
         """
         name = host.lower()
         if not name.endswith("]"):
@@ -49,9 +51,9 @@
         return None
 
     def find_team(self, key: str) -> Team | None:
-        """Find who holds a key.
+        """Find the team of a key.
 
-        :param key: as the caller sent it
-        :returns: the team, if any
+        :param key: key sent by the caller
+        :returns: the team; ``None`` if the key is unknown
         """
         return self._teams.get(key)
--- a/packages/gateway/src/chivepier/gateway/config/service.py
+++ b/packages/gateway/src/chivepier/gateway/config/service.py
@@ -7,13 +7,13 @@
 
 @attrs.frozen(kw_only=True)
 class Service:
-    """Targets that answer the same requests.
+    """A group of interchangeable targets.
 
-    :param name: the service's name
-    :param connections: what one target takes from all callers together
-    :param engine: set for model-serving targets
-    :param cold_rate: requests a second that a cold target bears, from all
-        callers together; 0 where that is not bounded
+    :param name: name of the service
+    :param connections: maximum concurrent requests on one target
+    :param engine: capabilities of model-serving targets; ``None`` for others
+    :param cold_rate: requests per second that a cold target tolerates, from
+        all callers together; 0 for no limit
     """
 
     name: str
--- a/packages/gateway/src/chivepier/gateway/config/team.py
+++ b/packages/gateway/src/chivepier/gateway/config/team.py
@@ -5,12 +5,12 @@
 
 @attrs.frozen(kw_only=True)
 class Team:
-    """Who shares the targets.
+    """A team whose requests share the targets with those of other teams.
 
-    :param name: what targets are told
-    :param keys: each names this team
-    :param regions: that its requests may reach; ``None`` for all
-    :param urgency: goes before the route's; 0 is the most urgent
+    :param name: name sent to targets
+    :param keys: keys, each of which identifies this team
+    :param regions: regions that its requests may reach; ``None`` for all
+    :param urgency: overrides the urgency of the route; 0 is the most urgent
     """
 
     name: str
--- a/packages/gateway/src/chivepier/gateway/config/tests/test_configuration.py
+++ b/packages/gateway/src/chivepier/gateway/config/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Tests of what makes a configuration invalid, and of finding routes."""
+"""Tests of checking configurations and of finding routes."""
 
 import attrs
 import pytest
@@ -51,7 +51,7 @@
 
 
 def test_two_teams_with_one_key_are_refused():
-    # With a shared key, requests of one team would count as the other's.
+    # Guards against counting requests of one team as those of another.
     teams = [Team(name="a", keys=("k",)), Team(name="b", keys=("k", "l"))]
     with pytest.raises(ConfigurationError, match="share a key"):
         make(ROUTE, teams=teams).check()
--- a/packages/gateway/src/chivepier/gateway/entry/__init__.py
+++ b/packages/gateway/src/chivepier/gateway/entry/__init__.py
@@ -1,4 +1,4 @@
-"""An entry: serves callers and follows the voters."""
+"""An entry, which serves callers and synchronizes with the voters."""
 
 from chivepier.gateway.entry.entry import Entry
 
--- a/packages/gateway/src/chivepier/gateway/entry/entry.py
+++ b/packages/gateway/src/chivepier/gateway/entry/entry.py
@@ -1,4 +1,4 @@
-"""All parts of an entry, put together."""
+"""Assembly of the parts of an entry."""
 
 import asyncio
 import contextlib
@@ -50,27 +50,27 @@
 from chivepier.wire import Faults
 from chivepier.wire import Links
 
-# Seconds after the order to stop in which callers still come with an address
-# that they were given before.
+# Seconds after the stop order in which callers may still connect to an address
+# that they resolved earlier.
 LATE_CALLER_SECONDS = 4.0
-# Share of its last seconds after which an entry turns new requests away: what
-# it took later would be cut with its end.
+# Fraction of the remaining seconds in which an entry accepts new requests;
+# later ones would be interrupted by its end.
 ACCEPT_FRACTION = 2 / 3
-# Seconds before the end of the grace at which the process ends by itself.
-# The machine may be slow, and a kill would reset what is just being sent.
+# Seconds before the end of the grace period at which the process exits itself.
+# The machine may be slow, and a kill would reset connections being written to.
 EXIT_MARGIN_SECONDS = 0.7
-# Seconds between two looks whether the last request has ended.
+# Seconds between two checks whether the last request has ended.
 POLL_SECONDS = 0.1
 
 
 class Entry:
-    """Serves callers through a caller-facing server that it doesn't know.
+    """Serves callers; independent of the protocol of the server they use.
 
-    :param settings: from its start
-    :param port: the protocol towards targets
-    :param decode: reads a configuration as it was sent
-    :param clock: monotonic time
-    :param log: decisions and beliefs
+    :param settings: settings read at its start
+    :param port: client that speaks the protocol of the targets
+    :param decode: decodes a serialized configuration
+    :param clock: source of monotonic time
+    :param log: event log of decisions and of known state
     """
 
     def __init__(
@@ -286,16 +286,16 @@
         self.mover.cancel_restarted(target)
         self._drop_target_state(target)
         self.rests.end_incarnation(target.instance, target.born, target.heard)
-        # what a kept connection leads to has ended: a request that may run
-        # once only would be lost with it
+        # kept connections lead to the ended incarnation: a request that may
+        # run only once would be lost on them
         self._port.hang_up(target)
 
     async def drain(self) -> None:
-        """Leave, and return once the process may end.
+        """Drain this entry, and return once the process may exit.
 
-        Callers with an address they were given before still come for some
-        seconds and are served, later ones are told that nothing ran; streams
-        go on as long as the grace allows.
+        Callers that resolved its address earlier are served for some seconds;
+        later ones are rejected with an error that says that nothing ran.
+        Streams continue as long as the grace period allows.
         """
         started_at = self._clock.monotonic()
         self._log.info("leaving", active=self.serving.active)
--- a/packages/gateway/src/chivepier/gateway/eventlog/__init__.py
+++ b/packages/gateway/src/chivepier/gateway/eventlog/__init__.py
@@ -1,4 +1,4 @@
-"""Structured lines for whoever explains a failure afterwards."""
+"""Structured log lines for the analysis of failures."""
 
 from chivepier.gateway.eventlog.eventlog import EventLog
 
--- a/packages/gateway/src/chivepier/gateway/eventlog/eventlog.py
+++ b/packages/gateway/src/chivepier/gateway/eventlog/eventlog.py
@@ -1,4 +1,4 @@
-"""One JSON object a line, bounded and never blocking."""
+"""A log of JSON lines that never blocks and has a bounded buffer."""
 
 import collections
 import collections.abc
@@ -7,25 +7,26 @@
 import time
 import typing
 
-# Lines of one kind within a second; beyond that they are counted only. Ten
-# times what a busy entry decides, so that it bounds bursts and not days.
+# Maximum lines of one event per second; the others are only counted. Ten times
+# the rate of a busy entry, so it limits bursts but not normal operation.
 MAX_LINES_PER_SECOND = 100
-# Bytes that wait for a slow reader; more is dropped and counted.
+# Buffer size for a slow reader, in bytes; further lines are dropped and
+# counted.
 MAX_BUFFERED_BYTES = 256 << 10
-# Failures are the last to be left out.
+# Additional buffer for warnings, in bytes, so that they are dropped last.
 WARNING_RESERVE_BYTES = 64 << 10
 
 
 class EventLog:
-    """Writes events to a descriptor that may stop taking them.
+    """Writes events to a descriptor without waiting for its reader.
 
-    A reader of standard output that has stopped fills the pipe; a blocking
-    write would then hold up every stream of the process. The descriptor is
-    set not to block, and what it does not take is kept to a bound.
+    If the reader of standard output stops, the pipe fills up, and a blocking
+    write would stall every stream of the process. The descriptor is therefore
+    non-blocking, and lines that it does not accept are buffered up to a limit.
 
-    :param name: this node's, in each line
-    :param handle: the descriptor; standard output by default
-    :param read_time: returns seconds of the wall clock
+    :param name: name of this node, written in each line
+    :param descriptor: file descriptor; standard output by default
+    :param read_time: returns the wall-clock time in seconds
     """
 
     def __init__(
@@ -46,15 +47,15 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """Bytes that the reader has not taken yet."""
+        """Number of bytes not written to the descriptor yet."""
         return self._buffered_bytes
 
     def info(self, event: str, **fields: typing.Any) -> None:
-        """Write a decision that went as usual."""
+        """Log a regular event."""
         self._write("info", event, fields, MAX_BUFFERED_BYTES)
 
     def warn(self, event: str, **fields: typing.Any) -> None:
-        """Write a refusal or a failure."""
+        """Log a refusal or a failure."""
         max_bytes = MAX_BUFFERED_BYTES + WARNING_RESERVE_BYTES
         self._write("warn", event, fields, max_bytes)
 
@@ -65,8 +66,8 @@
         if int(now) != self._second:
             self._begin_second(int(now))
         self._counts[event] += 1
-        # also when this line is left out: a reader that goes on again would
-        # else never get the rest
+        # also if this line is dropped: otherwise a resumed reader would never
+        # get the buffered lines
         self._flush()
         if (
             self._counts[event] > MAX_LINES_PER_SECOND
@@ -95,7 +96,7 @@
             "event": event,
         }
         for name, value in fields.items():
-            # a field of the writer's own names would hide who wrote the line
+            # a field with a reserved name must not replace the node or time
             line[f"{name}_" if name in line else name] = value
         data = json.dumps(line, separators=(",", ":"), default=str)
         self._buffer.append(data.encode() + b"\n")
@@ -109,7 +110,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # nobody reads any more: there is no one to tell
+                # the reader has closed the pipe
                 self._buffer.clear()
                 self._buffered_bytes = 0
                 return
--- a/packages/gateway/src/chivepier/gateway/eventlog/tests/test_eventlog.py
+++ b/packages/gateway/src/chivepier/gateway/eventlog/tests/test_eventlog.py
@@ -1,4 +1,4 @@
-"""Tests of the event log: bounded, and never waiting for its reader."""
+"""Tests of the event log's bounds and of its non-blocking writes."""
 
 import json
 import os
@@ -7,7 +7,7 @@
 
 
 def read_lines(descriptor: int) -> list[dict]:
-    """Read what is in a pipe."""
+    """Read the lines available in a pipe."""
     os.set_blocking(descriptor, False)
     data = b""
     try:
@@ -27,7 +27,7 @@
 
 
 def test_fields_do_not_replace_reserved_keys():
-    # A field called as the writer's name stood in its place.
+    # Guards against a field named like a reserved key replacing its value.
     reader, writer = os.pipe()
     EventLog("n1", writer).info("seat_given", node="n2", t=5)
     (line,) = read_lines(reader)
@@ -36,8 +36,8 @@
 
 
 def test_stopped_reader_does_not_block_the_writer():
-    # Every stream of the process stood still: the reader of standard output
-    # had stopped, its pipe was full, and a write waited for it.
+    # Guards against a blocking write to the full pipe of a stopped reader,
+    # which stalled every stream of the process.
     reader, writer = os.pipe()
     log = EventLog("n1", writer)
     for number in range(20_000):
@@ -49,8 +49,8 @@
 
 
 def test_resumed_reader_gets_the_remaining_lines():
-    # No line came any more after the reader had paused once: the log was
-    # full, left each new line out, and never tried to write again.
+    # Guards against a log that never writes again after its reader paused:
+    # with a full buffer it dropped each new line without flushing.
     reader, writer = os.pipe()
     log = EventLog("n1", writer)
     for number in range(20_000):
@@ -78,6 +78,6 @@
 
 
 def iter_time(times):
-    """Return a clock that gives these times in turn."""
+    """Return a clock that returns these times one after the other."""
     moments = iter(times)
     return lambda: next(moments)
--- a/packages/gateway/src/chivepier/gateway/metrics/metrics.py
+++ b/packages/gateway/src/chivepier/gateway/metrics/metrics.py
@@ -1,20 +1,21 @@
-"""What is counted and measured, by team and class."""
+"""Prometheus metrics of an entry, by team and urgency class."""
 
 import asyncio
 import collections
 import collections.abc
 
-# Teams that have series of their own; the others share one. Each has a
-# series for every class and bucket, and a scrape pays for all of them.
+# Maximum number of teams with separate series; the others share one. Each
+# team has a series per class and bucket, all of which a scrape transfers.
 MAX_TEAMS = 200
 OTHER_TEAM = "other"
-# Upper bounds in seconds: around the objectives of plain calls, first events,
-# pauses and whole streams.
+# Upper bounds in seconds, chosen around the objectives of plain calls, first
+# events, pauses and whole streams.
 BUCKETS = (0.01, 0.03, 0.06, 0.1, 0.18, 0.3, 0.6, 1, 1.8, 3, 6, 15, 60)
-# Seconds after the start at which the library is loaded, as a restarted entry
-# should listen first.
+# Seconds after the start at which the metrics library is loaded, so that a
+# restarted entry listens sooner.
 LOAD_DELAY_SECONDS = 3.0
-# Observations that wait for it at most; the rest is counted as dropped.
+# Maximum number of observations buffered until then; the others are counted
+# as dropped.
 MAX_BUFFERED_OBSERVATIONS = 5_000
 COUNTERS = (
     "requests",
@@ -29,7 +30,7 @@
 
 
 class Metrics:
-    """Keeps observations until the metrics library is loaded, then feeds it.
+    """Records metrics; buffers them until the metrics library is loaded.
 
     >>> metrics = Metrics()
     >>> metrics.record_request("t1", "1", "answered", 0.05)
@@ -46,12 +47,12 @@
         self._registry = None
 
     async def load_after_delay(self) -> None:
-        """Load the library once the start is over."""
+        """Load the metrics library after a delay."""
         await asyncio.sleep(LOAD_DELAY_SECONDS)
         self.load()
 
     def load(self) -> None:
-        """Load the library and hand over what waits."""
+        """Load the metrics library and apply the buffered observations."""
         if self._registry is not None:
             return
         import prometheus_client as library
@@ -64,7 +65,7 @@
             self._apply(name, labels, value)
 
     def render(self) -> bytes:
-        """Return all series as text."""
+        """Return all series in the Prometheus text format."""
         import prometheus_client as library
 
         self.load()
@@ -75,10 +76,10 @@
     ) -> None:
         """Count a request that has ended.
 
-        :param team: whose it was; empty when unknown
-        :param urgency: its class
+        :param team: team of the request; empty if unknown
+        :param urgency: urgency class of the request
         :param outcome: ``answered`` or the kind of its failure
-        :param seconds: from its arrival to its end
+        :param seconds: seconds from its arrival to its end
         """
         labels = (self._limit_team(team), urgency)
         self._record("requests", (*labels, outcome), 1.0)
@@ -87,10 +88,10 @@
     def record_stream(
         self, team: str, urgency: str, first: float, gap: float
     ) -> None:
-        """Measure a stream that has ended.
+        """Observe the times of a stream that has ended.
 
-        :param team: whose it was
-        :param urgency: its class
+        :param team: team of the stream
+        :param urgency: urgency class of the stream
         :param first: seconds to its first event
         :param gap: its longest pause, in seconds
         """
@@ -99,11 +100,11 @@
         self._record("gap", labels, gap)
 
     def record_move(self, outcome: str) -> None:
-        """Count a copy of a live generation's memory."""
+        """Count a copy of a running generation's memory by its outcome."""
         self._record("moves", (outcome,), 1.0)
 
     def record_quarantine(self, event: str) -> None:
-        """Count what was decided about a request that may end targets.
+        """Count a decision about a request that may crash targets.
 
         :param event: ``suspected``, ``held``, ``refused``, ``cleared`` or
             ``released``
@@ -111,40 +112,40 @@
         self._record("quarantine", (event,), 1.0)
 
     def record_permit(self, kind: str, answer: str) -> None:
-        """Count an answer to the question for a send to a target.
+        """Count the answer to a request for a permit.
 
-        :param kind: ``cold`` or ``limit``, why the target takes few
+        :param kind: ``cold`` or ``limit``: why the target needs permits
         :param answer: ``granted``, ``refused``, ``late`` or ``unanswered``;
             without a leader ``own_part`` or ``refused_alone``
         """
         self._record(f"{kind}_permits", (answer,), 1.0)
 
     def record_backoff(self, service: str) -> None:
-        """Count an answer whose target asks for rest.
+        """Count an answer that requests a backoff.
 
-        :param service: the target's
+        :param service: service of the target
         """
         self._record("rests", (service,), 1.0)
 
     def record_held_back(self, reason: str) -> None:
-        """Count what was not sent at the last moment.
+        """Count a call held back right before it was sent.
 
         :param reason: ``rest``, ``leaving``, ``evacuated`` or ``permit``
         """
         self._record("held_back", (reason,), 1.0)
 
     def record_unknown_header(self, name: str) -> None:
-        """Count a header of a target's answer that nothing reads.
+        """Count an unknown header in a target's answer.
 
-        :param name: in lower case, of a bounded set
+        :param name: name of the header in lower case, from a bounded set
         """
         self._record("unread", (name,), 1.0)
 
     def set_zone_evacuated(self, zone: str, evacuated: bool) -> None:
         """Set whether an availability zone is evacuated.
 
-        :param zone: its name
-        :param evacuated: whether nothing new is sent there
+        :param zone: name of the availability zone
+        :param evacuated: whether no new requests are sent there
         """
         self._record("zones", (zone,), float(evacuated))
 
--- a/packages/gateway/src/chivepier/gateway/metrics/tests/test_metrics.py
+++ b/packages/gateway/src/chivepier/gateway/metrics/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Tests of the metrics: late loading, and bounded label sets."""
+"""Tests of delayed loading and of bounded label sets."""
 
 from chivepier.gateway.metrics import Metrics
 from chivepier.gateway.metrics.metrics import MAX_BUFFERED_OBSERVATIONS
@@ -21,7 +21,7 @@
 
 
 def test_teams_beyond_the_maximum_share_one_series():
-    # A scrape grew with every name that a caller's team had ever had.
+    # Guards against a scrape that grows with each team name ever seen.
     metrics = Metrics()
     metrics.load()
     for number in range(MAX_TEAMS + 50):
--- a/packages/gateway/src/chivepier/gateway/settings/__init__.py
+++ b/packages/gateway/src/chivepier/gateway/settings/__init__.py
@@ -1,4 +1,4 @@
-"""What the programs are told at their start."""
+"""Settings that the programs read at their start."""
 
 from chivepier.gateway.settings.entrysettings import DEFAULT_BODY_BYTES
 from chivepier.gateway.settings.entrysettings import EntrySettings
--- a/packages/gateway/src/chivepier/gateway/settings/entrysettings.py
+++ b/packages/gateway/src/chivepier/gateway/settings/entrysettings.py
@@ -6,29 +6,29 @@
 
 from chivepier.gateway.quarantine import Overrides
 
-# Of all bodies, where the memory of the instance isn't told.
+# Memory limit for all request bodies if the instance's memory is unknown.
 DEFAULT_BODY_BYTES = 32 << 20
 
 
 @attrs.frozen(kw_only=True)
 class EntrySettings:
-    """What one entry is told at its start.
+    """Settings that an entry reads at its start.
 
-    :param name: of this instance
-    :param address: where callers reach it, as ``ip:port``
+    :param name: name of this instance
+    :param address: address at which callers reach it, as ``ip:port``
     :param zone: its availability zone
     :param seeds: peer addresses of instances that may be voters
-    :param cluster_key: that peers show each other
+    :param cluster_key: key with which peers authenticate each other
     :param beat: seconds between a target's announcements
-    :param repeat_ratio: repeats for each request, over all entries
-    :param repeat_extra: repeats that are always allowed, over all entries
-    :param repeat_window: in which both are counted, in seconds
-    :param grace: seconds from the order to stop until it is killed
-    :param body_bytes: that the bodies of all requests may take together
-    :param regions: of the availability zones, by their names
-    :param cold_excess: factor on the rate that a cold target bears
-    :param cold_slack: requests in a second above that
-    :param orders: requests that are let through or kept out
+    :param repeat_ratio: retries allowed per request, over all entries
+    :param repeat_extra: retries that are always allowed, over all entries
+    :param repeat_window: seconds within which both are counted
+    :param grace: seconds from the stop order until the process is killed
+    :param body_bytes: memory limit for all request bodies, in bytes
+    :param orders: operators' decisions to let through or block requests
+    :param regions: regions of the availability zones, by zone name
+    :param cold_excess: factor applied to the cold rate of a service
+    :param cold_slack: requests per second allowed in addition
     """
 
     name: str
--- a/packages/gateway/src/chivepier/gateway/settings/votersettings.py
+++ b/packages/gateway/src/chivepier/gateway/settings/votersettings.py
@@ -8,17 +8,17 @@
 
 @attrs.frozen(kw_only=True)
 class VoterSettings:
-    """What one voter is told at its start.
+    """Settings that a voter reads at its start.
 
-    :param name: of this instance
-    :param address: where peers reach it, as ``ip:port``
+    :param name: name of this instance
+    :param address: address at which peers reach it, as ``ip:port``
     :param seeds: peer addresses of instances that may be voters
-    :param folder: for what must survive
-    :param found: whether the whole system starts for the first time
-    :param cluster_key: that peers show each other
+    :param folder: directory for persistent data
+    :param found: whether to bootstrap a new system
+    :param cluster_key: key with which peers authenticate each other
     :param beat: seconds between a target's announcements
     :param zone: its availability zone
-    :param regions: of the availability zones, by their names
+    :param regions: regions of the availability zones, by zone name
     """
 
     name: str
