--- a/packages/gateway/src/chivepier/gateway/config/service.py
+++ b/packages/gateway/src/chivepier/gateway/config/service.py
@@ -10,7 +10,8 @@
     """A group of interchangeable targets.
 
     :param name: name of the service
-    :param connections: maximum concurrent requests on one target
+    :param connections: maximum connections that one target accepts from all
+        callers together
     :param engine: capabilities of model-serving targets; ``None`` for others
     :param cold_rate: requests per second that a cold target tolerates, from
         all callers together; 0 for no limit
