--- a/packages/gateway/src/chivepier/gateway/entry/entry.py
+++ b/packages/gateway/src/chivepier/gateway/entry/entry.py
@@ -99,7 +99,7 @@
         self.limits = LimitTable(settings.name)
         self.limits.watchers.append(self._log_limit)
         self.rests = BackoffTable(rng)
-        chooser = LoadBalancer(
+        balancer = LoadBalancer(
             self.table,
             self.health,
             self.board,
@@ -153,7 +153,7 @@
         guard = CrashGuard(self.quarantine, clock)
         self.mover = Mover(
             calls,
-            chooser,
+            balancer,
             self.table,
             self.board,
             guard,
@@ -203,7 +203,7 @@
         dispatcher = Dispatcher(
             state=self.state,
             table=self.table,
-            chooser=chooser,
+            chooser=balancer,
             health=self.health,
             board=self.board,
             queues=self.queues,
--- a/packages/gateway/src/chivepier/gateway/following/voterclient.py
+++ b/packages/gateway/src/chivepier/gateway/following/voterclient.py
@@ -124,8 +124,8 @@
             self._report_changes(self._limits.changed),
             self._report_changes(self._leavers.changed),
         )
-        for work in coroutines:
-            self._tasks.append(asyncio.create_task(work))
+        for coroutine in coroutines:
+            self._tasks.append(asyncio.create_task(coroutine))
         return self
 
     async def __aexit__(self, *exc) -> None:
@@ -259,7 +259,10 @@
             self._limits.find_unconfirmed(voter.limits),
             tuple(leavers - voter.confirmed_leavers),
         )
-        told, limits = voter.limits.confirmed_revision, self._limits.revision
+        limits_confirmed, limits_revision = (
+            voter.limits.confirmed_revision,
+            self._limits.revision,
+        )
         try:
             answer = await self._links.request(address, beat, ANSWER_SECONDS)
         except LinkError as error:
@@ -279,9 +282,9 @@
         voter.confirmed_leavers = (
             leavers if answer.epoch == beat.epoch else frozenset()
         )
-        is_confirmed = answer.epoch == beat.epoch or told is None
+        is_confirmed = answer.epoch == beat.epoch or limits_confirmed is None
         self._limits.handle_answer(
-            voter.limits, answer, limits if is_confirmed else None
+            voter.limits, answer, limits_revision if is_confirmed else None
         )
         self._handle_answer(address, voter, answer)
 
