--- a/packages/gateway/src/chivepier/gateway/following/limitexchange.py
+++ b/packages/gateway/src/chivepier/gateway/following/limitexchange.py
@@ -1,8 +1,8 @@
-"""Telling which limits targets named here, and hearing of the others'."""
+"""Exchange of the rate limits that targets announced."""
 
 import collections.abc
 
-from chivepier.gateway.following.limitstanding import LimitStanding
+from chivepier.gateway.following.limitsyncstate import LimitSyncState
 from chivepier.gateway.limits import LimitTable
 from chivepier.gateway.limits import pack_limits
 from chivepier.gateway.limits import unpack_limits
@@ -15,67 +15,71 @@
 
 
 class LimitExchange:
-    """Keeps the limits that all entries know of alike.
+    """Synchronizes the rate limits known to all entries.
 
-    An entry tells every voter, at once and with each beat until that voter
-    has confirmed it; a voter tells its followers at once, and whoever else
-    beats. So any one voter that two entries both hear is enough for them. A
-    voter that started anew is told all that is known here.
+    An entry reports a limit to every voter, at once and with each beat until
+    that voter has confirmed it. A voter pushes it to its followers and returns
+    it in answers to beats of other entries, so one voter reachable from two
+    entries is enough. A restarted voter gets all limits known here.
 
-    :ivar changed: set when a target told this entry something new
+    :ivar changed: set when a limit known to this entry has changed
 
-    :param board: of this entry
-    :param clock: monotonic time
+    :param table: rate limits known to this entry
+    :param clock: source of monotonic time
     """
 
-    def __init__(self, board: LimitTable, clock: Clock):
+    def __init__(self, table: LimitTable, clock: Clock):
         self.changed = Signal()
-        self._board = board
+        self._table = table
         self._clock = clock
-        board.watchers.append(self._note_word)
+        table.watchers.append(self._handle_limit)
 
     @property
     def revision(self) -> int:
-        """Of this entry's board; what a beat tells goes up to it."""
-        return self._board.revision
+        """Revision of this entry's limits up to which a beat reports them."""
+        return self._table.revision
 
-    def _note_word(
-        self, word: VersionedLimit, before: VersionedLimit | None
+    def _handle_limit(
+        self, limit: VersionedLimit, before: VersionedLimit | None
     ) -> None:
         self.changed.set()
 
-    def find_untold(self, standing: LimitStanding) -> tuple[LimitRecord, ...]:
-        """Return what a voter lacks."""
-        words = self._board.find_newer(
-            standing.told or 0, own_only=standing.told is not None
+    def find_unconfirmed(
+        self, sync: LimitSyncState
+    ) -> tuple[LimitRecord, ...]:
+        """Return the limits that a voter has not confirmed."""
+        limits = self._table.find_newer(
+            sync.confirmed_revision or 0,
+            own_only=sync.confirmed_revision is not None,
         )
-        return pack_limits(words, self._clock.monotonic())
+        return pack_limits(limits, self._clock.monotonic())
 
     def take(self, records: tuple[LimitRecord, ...]) -> None:
-        """Take what a voter tells."""
-        for word in unpack_limits(records, self._clock.monotonic()):
-            self._board.put(word)
+        """Merge the limits sent by a voter."""
+        for limit in unpack_limits(records, self._clock.monotonic()):
+            self._table.put(limit)
 
     def expire(self, targets: collections.abc.Iterable[Target]) -> None:
-        """Drop what is believed of targets that are not known any more.
+        """Drop the limits of targets that are no longer known.
 
-        :param targets: that are known
+        :param targets: the known targets
         """
-        self._board.expire(target.instance for target in targets)
+        self._table.expire(target.instance for target in targets)
 
-    def take_answer(
+    def handle_answer(
         self,
-        standing: LimitStanding,
+        sync: LimitSyncState,
         answer: EntryBeatAnswer,
-        told: int | None,
+        confirmed_revision: int | None,
     ) -> None:
-        """Take a voter's answer to a beat.
+        """Handle a voter's answer to a beat.
 
-        :param standing: of that voter
-        :param answer: its answer
-        :param told: revision up to which it now has all that was told here;
-            ``None`` where it started anew since the beat was composed
+        :param sync: synchronization state of that voter
+        :param answer: answer of the voter
+        :param confirmed_revision: revision up to which the voter now has
+            this entry's limits; ``None`` if it restarted since the beat was
+            composed
         """
-        standing.told = told
-        standing.held = answer.limits_revision
+        sync.confirmed_revision = confirmed_revision
+        sync.received_revision = answer.limits_revision
         self.take(answer.limits)
--- a/packages/gateway/src/chivepier/gateway/following/loadexchange.py
+++ b/packages/gateway/src/chivepier/gateway/following/loadexchange.py
@@ -1,4 +1,4 @@
-"""Telling what runs at an entry, and hearing what runs at the others."""
+"""Exchange of loads and queues between entries."""
 
 import collections.abc
 
@@ -12,22 +12,22 @@
 from chivepier.gateway.targets import TargetTable
 from chivepier.types import Clock
 
-# Seconds for which load changes are gathered before they are sent.
-GATHER_SECONDS = 0.01
+# Seconds for which load changes are batched before they are sent.
+BATCH_SECONDS = 0.01
 # Seconds between two full reports of this entry's loads.
-REPEAT_SECONDS = 1.0
+FULL_REPORT_SECONDS = 1.0
 
 Post = collections.abc.Callable[[LoadNotice], None]
 
 
 class LoadExchange:
-    """Keeps the boards of an entry up to date, and others' of it.
+    """Reports the loads of this entry, and merges those of the others.
 
-    :param board: what runs where
-    :param queues: what waits where
-    :param budget: repeats that entries share
-    :param table: the targets; forgets silent ones
-    :param clock: monotonic time
+    :param board: loads of the targets, over all entries
+    :param queues: waiting requests, over all entries
+    :param budget: retry budget shared by the entries
+    :param table: known targets; silent ones expire with each full report
+    :param clock: source of monotonic time
     """
 
     def __init__(
@@ -43,14 +43,14 @@
         self._budget = budget
         self._table = table
         self._clock = clock
-        self._told: dict[str, LoadRecord] = {}
-        self._told_queues: dict[tuple[str, int], int] = {}
-        self._told_repeats: dict[str, int] = {}
+        self._sent_loads: dict[str, LoadRecord] = {}
+        self._sent_queues: dict[tuple[str, int], int] = {}
+        self._sent_loans: dict[str, int] = {}
 
     def merge(self, notice: LoadNotice) -> None:
-        """Take what runs at the other entries.
+        """Merge the loads of the other entries.
 
-        :param notice: from the voter that this entry follows
+        :param notice: loads sent by the voter that this entry follows
         """
         now = self._clock.monotonic()
         if notice.whole:
@@ -62,74 +62,74 @@
             self._queues.put(queue, now)
         self._budget.update_peer_loans(notice.repeats, notice.whole, now)
 
-    def tell_anew(self) -> None:
-        """Tell everything again: another voter is followed now."""
-        self._told.clear()
-        self._told_queues.clear()
-        self._told_repeats.clear()
+    def resend_all(self) -> None:
+        """Report everything again after a switch to another voter."""
+        self._sent_loads.clear()
+        self._sent_queues.clear()
+        self._sent_loans.clear()
         self._board.changed.set()
 
     async def run(self, post: Post) -> None:
-        """Tell what changes, for as long as the node lives.
+        """Report changes until cancelled.
 
-        :param post: sends to the voter that is followed
+        :param post: sends a notice to the followed voter
         """
-        repeated = 0.0
+        reported_at = 0.0
         while True:
-            await self._board.changed.wait(REPEAT_SECONDS)
-            await self._clock.sleep(GATHER_SECONDS)
+            await self._board.changed.wait(FULL_REPORT_SECONDS)
+            await self._clock.sleep(BATCH_SECONDS)
             now = self._clock.monotonic()
-            again = now - repeated >= REPEAT_SECONDS
-            if again:
-                repeated = now
+            full = now - reported_at >= FULL_REPORT_SECONDS
+            if full:
+                reported_at = now
                 self._table.expire(now)
             self._board.expire_avoiding(now)
             notice = LoadNotice(
-                self._find_loads(again),
-                self._find_queues(again),
+                self._collect_loads(full),
+                self._collect_queues(full),
                 False,
-                self._find_repeats(again, now),
+                self._collect_loans(full, now),
             )
             if notice.records or notice.queues or notice.repeats:
                 post(notice)
 
-    def _find_loads(self, again: bool) -> tuple[LoadRecord, ...]:
+    def _collect_loads(self, full: bool) -> tuple[LoadRecord, ...]:
         records = []
         for record in self._board.list_own():
             instance = record.instance
-            told = self._told.get(instance)
+            sent = self._sent_loads.get(instance)
             idle = not (
                 record.runs
                 or record.tokens
                 or record.copy_ms
                 or record.avoiding
             )
-            if again or told != record:
-                if not idle or told is not None:
+            if full or sent != record:
+                if not idle or sent is not None:
                     records.append(record)
-                self._told[instance] = record
+                self._sent_loads[instance] = record
                 if idle:
                     self._board.drop_own(instance)
-                    del self._told[instance]
+                    del self._sent_loads[instance]
         return tuple(records)
 
-    def _find_queues(self, again: bool) -> tuple[QueueRecord, ...]:
+    def _collect_queues(self, full: bool) -> tuple[QueueRecord, ...]:
         records = []
         for record in self._queues.list_own():
             key = (record.service, record.rank)
-            if again or self._told_queues.get(key) != record.waiting:
+            if full or self._sent_queues.get(key) != record.waiting:
                 records.append(record)
-            self._told_queues[key] = record.waiting
+            self._sent_queues[key] = record.waiting
         return tuple(records)
 
-    def _find_repeats(
-        self, again: bool, now: float
+    def _collect_loans(
+        self, full: bool, now: float
     ) -> tuple[RepeatRecord, ...]:
         records = []
         for record in self._budget.list_loans(now):
-            told = self._told_repeats.get(record.service, 0)
-            # loans are few: none is told until the first
-            if told != record.used or again and record.used:
+            sent = self._sent_loans.get(record.service, 0)
+            # loans are rare: zero is reported only to revoke an earlier one
+            if sent != record.used or full and record.used:
                 records.append(record)
-            self._told_repeats[record.service] = record.used
+            self._sent_loans[record.service] = record.used
         return tuple(records)
--- /dev/null
+++ b/packages/gateway/src/chivepier/gateway/following/voterclient.py
@@ -0,0 +1,374 @@
+"""An entry's client of the voters."""
+
+import asyncio
+
+from chivepier.gateway.eventlog import EventLog
+from chivepier.gateway.following.configfetcher import ConfigFetcher
+from chivepier.gateway.following.configfetcher import Decode
+from chivepier.gateway.following.limitexchange import LimitExchange
+from chivepier.gateway.following.loadexchange import LoadExchange
+from chivepier.gateway.following.peers import Peers
+from chivepier.gateway.following.quarantineexchange import QuarantineExchange
+from chivepier.gateway.following.records import unpack_target
+from chivepier.gateway.following.voterlink import VoterLink
+from chivepier.gateway.following.voterselector import VoterSelector
+from chivepier.gateway.following.voterstatus import VoterStatus
+from chivepier.gateway.messages import ConfigNotice
+from chivepier.gateway.messages import EntryBeat
+from chivepier.gateway.messages import EntryBeatAnswer
+from chivepier.gateway.messages import LeavingRecord
+from chivepier.gateway.messages import LimitNotice
+from chivepier.gateway.messages import LoadNotice
+from chivepier.gateway.messages import PermitAnswer
+from chivepier.gateway.messages import PermitRequest
+from chivepier.gateway.messages import QuarantineNotice
+from chivepier.gateway.messages import TargetNotice
+from chivepier.gateway.messages import TargetRecord
+from chivepier.gateway.messages import ZoneNotice
+from chivepier.gateway.messages import ZoneRecord
+from chivepier.gateway.serving import ServingState
+from chivepier.gateway.targets import LeavingTargets
+from chivepier.gateway.targets import TargetTable
+from chivepier.gateway.zones import Freshness
+from chivepier.gateway.zones import PRESUMPTION_TTL_SECONDS
+from chivepier.gateway.zones import unpack_order
+from chivepier.types import Clock
+from chivepier.types import Signal
+from chivepier.wire import Channel
+from chivepier.wire import LinkError
+from chivepier.wire import Links
+from chivepier.wire import RefusedError
+
+# Seconds between an entry's beats to each voter; several fit into the time
+# after which voters consider the entry gone.
+BEAT_SECONDS = 0.3
+# Seconds to wait for a voter's answer; shorter than the timeout of its link.
+ANSWER_SECONDS = 0.8
+# Seconds between two checks of the list of voters.
+POLL_SECONDS = 0.2
+
+
+class VoterClient:
+    """Keeps a link to each voter: changes are pushed, beats repair gaps.
+
+    An entry that reaches no voter continues with its last known state:
+    serving callers with a configuration some seconds old is better than not
+    serving them, and a voter that can't reach the entry gives its address
+    to no caller.
+
+    :param name: name of this entry
+    :param address: address at which callers reach it
+    :param zone: its availability zone
+    :param peers: addresses of possible voters
+    :param links: links to the voters
+    :param decode: decodes a serialized configuration
+    :param state: receives each newer configuration
+    :param table: receives the targets
+    :param loads: exchanges the loads of the entries
+    :param quarantine: exchanges records of requests that crashed targets
+    :param limits: exchanges the rate limits that targets announced
+    :param leavers: targets that announced in a response that they leave
+    :param freshness: is notified of each answer of a voter
+    :param clock: source of monotonic time
+    :param log: event log of this process
+    """
+
+    def __init__(
+        self,
+        *,
+        name: str,
+        address: str,
+        zone: str,
+        peers: Peers,
+        links: Links,
+        decode: Decode,
+        state: ServingState,
+        table: TargetTable,
+        loads: LoadExchange,
+        quarantine: QuarantineExchange,
+        limits: LimitExchange,
+        leavers: LeavingTargets,
+        freshness: Freshness,
+        clock: Clock,
+        log: EventLog,
+    ):
+        self._name = name
+        self._address = address
+        self._zone = zone
+        self._peers = peers
+        self._links = links
+        self._configs = ConfigFetcher(links, decode, state, clock, log)
+        self._state = state
+        self._table = table
+        self._clock = clock
+        self._log = log
+        self._voters: dict[str, VoterLink] = {}
+        self._selector = VoterSelector(zone, clock)
+        self._loads = loads
+        self._quarantine = quarantine
+        self._limits = limits
+        self._leavers = leavers
+        self._freshness = freshness
+        freshness.request_update = self._start_beats
+        self._zone_order_index = -1
+        self._tasks: list[asyncio.Task] = []
+        self._beat_tasks: set[asyncio.Task] = set()
+        self.leaving = False
+
+    async def __aenter__(self) -> "VoterClient":
+        coroutines = (
+            self._update_links(),
+            self._configs.run(),
+            self._loads.run(self._post_loads),
+            self._report_changes(self._quarantine.changed),
+            self._report_changes(self._limits.changed),
+            self._report_changes(self._leavers.changed),
+        )
+        for coroutine in coroutines:
+            self._tasks.append(asyncio.create_task(coroutine))
+        return self
+
+    async def __aexit__(self, *exc) -> None:
+        tasks = [*self._tasks, *self._beat_tasks]
+        tasks += [v.task for v in self._voters.values() if v.task]
+        for task in tasks:
+            task.cancel()
+        await asyncio.gather(*tasks, return_exceptions=True)
+
+    @property
+    def ready(self) -> bool:
+        """Whether callers may be sent here."""
+        known = self._state.index is not None
+        return known and not self.leaving
+
+    @property
+    def followed_voter(self) -> str | None:
+        """Address of the voter that sends the loads of other entries."""
+        return self._selector.address
+
+    def leave(self) -> None:
+        """Notify every voter at once that this entry is leaving."""
+        self.leaving = True
+        for address, voter in self._voters.items():
+            self._start_beat(address, voter)
+
+    def handle(self, message, channel: Channel) -> None:
+        """Handle a message pushed by a voter.
+
+        :param message: the message
+        :param channel: link that it came over
+        """
+        match message:
+            case TargetNotice(records=records):
+                self._merge_targets(records)
+            case LoadNotice():
+                # a voter followed before may still push outdated loads
+                if channel.peer == self._selector.address:
+                    self._loads.merge(message)
+            case QuarantineNotice():
+                self._quarantine.take(message)
+            case LimitNotice(records=records):
+                self._limits.take(records)
+            case ZoneNotice(records=records):
+                self._merge_zone_orders(records)
+            case ConfigNotice(version=version):
+                self._configs.record_version(channel.peer, version)
+            case other:
+                raise RefusedError(f"unexpected {type(other).__name__}")
+
+    async def _update_links(self) -> None:
+        while True:
+            self._quarantine.expire()
+            self._limits.expire(self._table)
+            wanted = set(self._peers.all)
+            for address in wanted - self._voters.keys():
+                voter = self._voters[address] = VoterLink()
+                voter.task = asyncio.create_task(
+                    self._send_beats(address, voter)
+                )
+            for address in self._voters.keys() - wanted:
+                voter = self._voters.pop(address)
+                voter.task.cancel()
+            await self._clock.sleep(POLL_SECONDS)
+
+    async def _send_beats(self, address: str, voter: VoterLink) -> None:
+        while True:
+            await self._send_beat(address, voter)
+            await self._clock.sleep(BEAT_SECONDS)
+
+    async def _report_changes(self, changed: Signal) -> None:
+        """Send a beat to each reachable voter as soon as there are changes."""
+        while True:
+            await changed.wait()
+            for address, voter in self._voters.items():
+                if voter.alive:
+                    self._start_beat(address, voter)
+
+    def _start_beats(self) -> None:
+        for address, voter in self._voters.items():
+            self._start_beat(address, voter)
+
+    async def request_permit(
+        self, request: PermitRequest
+    ) -> PermitAnswer | None:
+        """Request a permit for one send to a cold or rate-limited target.
+
+        :param request: the request for the permit
+        :returns: the answer; ``None`` if there was none
+        """
+        if self._selector.address is None:
+            return None
+        try:
+            answer = await self._links.request(
+                self._selector.address, request, request.permit_seconds
+            )
+        except LinkError as error:
+            self._log.warn(
+                "permit_lost", target=request.instance, error=str(error)
+            )
+            return None
+        return answer
+
+    def _start_beat(self, address: str, voter: VoterLink) -> None:
+        task = asyncio.create_task(self._send_beat(address, voter))
+        self._beat_tasks.add(task)
+        task.add_done_callback(self._beat_tasks.discard)
+
+    async def _send_beat(self, address: str, voter: VoterLink) -> None:
+        index = self._state.index
+        before, own_count = voter.quarantine_confirmed, self._quarantine.count
+        unconfirmed = self._quarantine.find_unconfirmed(before)
+        leavers = frozenset(
+            LeavingRecord(target.instance, target.born)
+            for target in self._leavers.list_unconfirmed()
+        )
+        beat = EntryBeat(
+            self._name,
+            self._address,
+            self._zone,
+            self.ready,
+            index.version if index else -1,
+            voter.epoch,
+            voter.targets_revision,
+            address == self._selector.address,
+            voter.quarantine_revision,
+            unconfirmed.endings,
+            unconfirmed.clearances,
+            self._zone_order_index,
+            voter.limits.received_revision,
+            self._limits.find_unconfirmed(voter.limits),
+            tuple(leavers - voter.confirmed_leavers),
+        )
+        limits_confirmed, limits_revision = (
+            voter.limits.confirmed_revision,
+            self._limits.revision,
+        )
+        try:
+            answer = await self._links.request(address, beat, ANSWER_SECONDS)
+        except LinkError as error:
+            self._set_alive(address, voter, False, str(error))
+            return
+        self._set_alive(address, voter, True, "")
+        # before notifying waiting requests, which must see these zone orders
+        self._merge_zone_orders(answer.orders)
+        self._presume_evacuations(answer.presumed)
+        self._freshness.note_update()
+        self._handle_quarantine(voter, answer)
+        # a restarted voter lacks the records of earlier beats: its answer
+        # confirms a beat only if that beat carried everything
+        is_confirmed = answer.epoch == beat.epoch or before is None
+        voter.quarantine_confirmed = own_count if is_confirmed else None
+        # a restarted voter gets them again with the next beat
+        voter.confirmed_leavers = (
+            leavers if answer.epoch == beat.epoch else frozenset()
+        )
+        is_confirmed = answer.epoch == beat.epoch or limits_confirmed is None
+        self._limits.handle_answer(
+            voter.limits, answer, limits_revision if is_confirmed else None
+        )
+        self._handle_answer(address, voter, answer)
+
+    def _set_alive(
+        self, address: str, voter: VoterLink, alive: bool, reason: str
+    ) -> None:
+        if voter.alive is alive:
+            return
+        voter.alive = alive
+        self._select_voter()
+        write = self._log.info if alive else self._log.warn
+        write("voter_link", peer=address, alive=alive, reason=reason)
+
+    def _handle_answer(
+        self, address: str, voter: VoterLink, answer: EntryBeatAnswer
+    ) -> None:
+        self._merge_targets(answer.records)
+        self._table.mark_alive(answer.live_targets, self._clock.monotonic())
+        voter.status = VoterStatus(
+            answer.zone, answer.reachable_voters, answer.first_voter
+        )
+        self._select_voter()
+        voter.epoch, voter.targets_revision = answer.epoch, answer.revision
+        self._state.entries = max(1, answer.entries)
+        if answer.voters:
+            self._peers.learn(answer.voters)
+        self._configs.record_version(address, answer.version)
+
+    def _merge_zone_orders(self, records: tuple[ZoneRecord, ...]) -> None:
+        now = self._clock.monotonic()
+        zones = self._table.zones
+        for record in records:
+            zones.put(unpack_order(record, now))
+        # a voter sends all orders up to its newest one
+        newest = max((record.index for record in records), default=-1)
+        self._zone_order_index = max(self._zone_order_index, newest)
+
+    def _presume_evacuations(self, names: tuple[str, ...]) -> None:
+        until = self._clock.monotonic() + PRESUMPTION_TTL_SECONDS
+        for zone in names:
+            self._table.zones.presume(zone, until)
+
+    def _handle_quarantine(
+        self, voter: VoterLink, answer: EntryBeatAnswer
+    ) -> None:
+        notice = QuarantineNotice(answer.endings, answer.clearances)
+        self._quarantine.take(notice)
+        voter.quarantine_revision = answer.quarantine_revision
+
+    def _merge_targets(self, records: tuple[TargetRecord, ...]) -> None:
+        now = self._clock.monotonic()
+        for record in records:
+            try:
+                is_new = self._table.put(unpack_target(record, now))
+            except ValueError as error:
+                # a value of another release: raising here would skip the
+                # other targets and end the beats to this voter
+                self._log.warn(
+                    "target_unread", target=record.instance, error=str(error)
+                )
+                continue
+            if is_new:
+                self._log.info(
+                    "target_known",
+                    target=record.instance,
+                    state=record.state,
+                    number=record.number,
+                    age=round(record.age, 3),
+                )
+
+    def _select_voter(self) -> None:
+        before = self._selector.address
+        alive = {a: v.status for a, v in self._voters.items() if v.alive}
+        if not self._selector.choose(alive):
+            return
+        self._log.info(
+            "hub_chosen", peer=self._selector.address, before=before
+        )
+        self._loads.resend_all()
+        for address in (before, self._selector.address):
+            voter = self._voters.get(address)
+            if voter is not None and voter.alive:
+                self._start_beat(address, voter)
+
+    def _post_loads(self, notice: LoadNotice) -> None:
+        if self._selector.address is not None:
+            self._links.post(self._selector.address, notice)
--- /dev/null
+++ b/packages/gateway/src/chivepier/gateway/following/voterlink.py
@@ -0,0 +1,37 @@
+"""The state of an entry's link to one voter."""
+
+import asyncio
+
+import attrs
+
+from chivepier.gateway.following.limitsyncstate import LimitSyncState
+from chivepier.gateway.following.voterstatus import VoterStatus
+from chivepier.gateway.messages import LeavingRecord
+
+
+@attrs.define
+class VoterLink:
+    """Synchronization state of an entry with one voter.
+
+    :param task: task that sends beats to the voter
+    :param epoch: identifies the run of the voter that this state belongs to
+    :param targets_revision: revision of its targets up to which this entry
+        has all changes
+    :param quarantine_revision: the same for its quarantine
+    :param quarantine_confirmed: number of this entry's quarantine records
+        that the voter has; ``None`` if it may have none
+    :param limits: synchronization state of the rate limits
+    :param confirmed_leavers: leaving targets reported to the voter
+    :param alive: whether it answered the last beat
+    :param status: what it last reported about itself
+    """
+
+    task: asyncio.Task | None = None
+    epoch: str = ""
+    targets_revision: int = 0
+    quarantine_revision: int = 0
+    quarantine_confirmed: int | None = None
+    limits: LimitSyncState = attrs.field(factory=LimitSyncState)
+    confirmed_leavers: frozenset[LeavingRecord] = frozenset()
+    alive: bool = False
+    status: VoterStatus = VoterStatus()
--- a/tests/adapter/test_settings.py
+++ b/tests/adapter/test_settings.py
@@ -4,7 +4,7 @@
 
 from adapter.settingserror import SettingsError
 from adapter.settingsfile import SettingsFile
-from chivepier.gateway.settings import USUAL_BODY_BYTES
+from chivepier.gateway.settings import DEFAULT_BODY_BYTES
 
 SETTINGS = {
     "node-name": "front-1",
@@ -42,7 +42,7 @@
 
 
 def test_body_memory_is_a_fraction_of_the_limit():
-    assert make_file().make_entry_settings().body_bytes == USUAL_BODY_BYTES
+    assert make_file().make_entry_settings().body_bytes == DEFAULT_BODY_BYTES
     entry = make_file(**{"limits.memory-mb": "128"}).make_entry_settings()
     assert entry.body_bytes == 16 << 20
 
