--- a/packages/gateway/src/chivepier/gateway/control/limitrelay.py
+++ b/packages/gateway/src/chivepier/gateway/control/limitrelay.py
@@ -41,25 +41,25 @@
         :param records: limits contained in the entry's beat
         """
         now = self._clock.monotonic()
-        words = unpack_limits(records, now)
-        changed = [word for word in words if self.board.put(word)]
+        limits = unpack_limits(records, now)
+        changed = [limit for limit in limits if self.board.put(limit)]
         if not changed:
             return
-        for word in changed:
-            self._log_limit(word, now)
+        for limit in changed:
+            self._log_limit(limit, now)
         message = prepare(LimitNotice(pack_limits(changed, now)))
         for channel in self._channels():
             channel.send_prepared(message)
 
-    def _log_limit(self, word: VersionedLimit, now: float) -> None:
+    def _log_limit(self, limit: VersionedLimit, now: float) -> None:
         self._log.info(
             "limit_known",
-            target=word.instance,
-            born=word.born,
-            rate=word.rate,
-            version=word.version,
-            source=word.source,
-            age_ms=round(1000 * (now - word.seen)),
+            target=limit.instance,
+            born=limit.born,
+            rate=limit.rate,
+            version=limit.version,
+            source=limit.source,
+            age_ms=round(1000 * (now - limit.seen)),
         )
 
     def find_active(
@@ -71,11 +71,11 @@
         :returns: pairs of a limit and its age in seconds
         """
         now = self._clock.monotonic()
-        words = [self.board.find(t.instance, t.born) for t in targets]
+        limits = [self.board.find(t.instance, t.born) for t in targets]
         return [
-            (word, now - word.seen)
-            for word in words
-            if word is not None and word.rate is not None
+            (limit, now - limit.seen)
+            for limit in limits
+            if limit is not None and limit.rate is not None
         ]
 
     def find_missing(
@@ -90,5 +90,5 @@
         revision = beat.limits_revision if beat.epoch == epoch else 0
         if revision >= self.board.revision:
             return ()
-        words = self.board.find_newer(revision)
-        return pack_limits(words, self._clock.monotonic())
+        limits = self.board.find_newer(revision)
+        return pack_limits(limits, self._clock.monotonic())
--- a/packages/gateway/src/chivepier/gateway/control/operatorapi.py
+++ b/packages/gateway/src/chivepier/gateway/control/operatorapi.py
@@ -77,12 +77,12 @@
             ],
             "limits": [
                 {
-                    "target": word.instance,
-                    "rate": word.rate,
-                    "source": word.source,
+                    "target": limit.instance,
+                    "rate": limit.rate,
+                    "source": limit.source,
                     "seconds": round(age, 1),
                 }
-                for word, age in voter.limits.find_active(voter.table)
+                for limit, age in voter.limits.find_active(voter.table)
             ],
         }
         return web.json_response(status)
--- a/packages/gateway/src/chivepier/gateway/control/statecache.py
+++ b/packages/gateway/src/chivepier/gateway/control/statecache.py
@@ -79,7 +79,7 @@
         now = self._clock.monotonic()
         for fields in targets:
             self._table.put(unpack_target(TargetRecord(*fields), now))
-        # Files of earlier releases lack the last one or two fields.
+        # Files of earlier releases contain neither of these two fields.
         endings, orders = (*rest, (), ())[:2]
         for zone, index, evacuated in orders:
             order = ZoneOrder(zone, index, evacuated, now)
